--- /dev/null
+++ b/tests/test_wire_goldens.py
@@ -0,0 +1,355 @@
+"""Every message and stored record, byte for byte, against `data/wire_goldens.json`.
+
+The bytes were recorded from the code itself (`recorded_by` in the data tells the commits), some
+from the version in production. Each test decodes one golden with today's type, compares the fields'
+values by position, and encodes them again where the code encodes that kind of message at all. So
+types and fields may be renamed freely: only the table `KINDS` names them, and a field that comes
+to carry another's name on the wire, or moves, is noticed.
+
+A golden that today's code reads but would write in another way has `decode_only`. One that must be
+refused has `refused` in place of `values`: what the decoder gives as the reason, which for users
+and operators is a part of the answer, or nothing where it just gives none. Compressed values were
+recorded with the libraries of requirements.txt and Python's own zlib; another build of these may
+compress to other bytes, but the goldens of what is inside stay as they are.
+
+What it can't see: fields of one type that change places in a struct that travels as an array. No
+name of theirs stands in the bytes, which stay as they are.
+
+Structs that are never encoded or decoded, and so have no goldens of their own:
+
+- `effects`: all, between the core and the network of one process.
+- `jobs`: `pipelines.Node`, `Outlook`, `Changes`, `service.Known`.
+- `placement`: all, in `plan`, `preempt` and `queue`.
+- `blocks`: `layout.RecordLimits`, `Wishes`, `Edit`. `BlockRecord`, `BlockHead`, `Part` and
+  `MachineEntry` are what block records are read into; `_BlockWire`, `_PartWire`, `_Group`, `_Run`
+  and `_Kind` are what stands in the bytes, and have goldens too.
+- `state.client`: `_Read`. `Change` and `Write` become the body of a transaction.
+- `workers`: `checkins.DeferredCheckin`, `ParkedCheckin`, `machine.Run`, `Outcome`.
+- `fleet.sizing`: all.
+- `standby`: `takeover.Expected`, `stream.Limits`, `Position`, `replica.Replica`,
+  `follower.Assembly`, `Holder`, `Followed`.
+- `shares`: `policy.PolicyInput` (handed to an expression by names in the code), `table.Situation`,
+  `Move`, `reconciler.Targets`.
+"""
+
+from __future__ import annotations
+
+import base64
+import json
+import pathlib
+import tempfile
+import tomllib
+from collections.abc import Callable
+from types import SimpleNamespace
+from typing import Any, NamedTuple
+from unittest import mock
+
+import msgspec
+import pytest
+
+from fallpulley import settings
+from fallpulley.blocks import messages as blocks
+from fallpulley.blocks import packing
+from fallpulley.blocks.session import SessionLease
+from fallpulley.duties import messages as duties
+from fallpulley.fleet import messages as fleet
+from fallpulley.jobs import messages as jobs
+from fallpulley.jobs import persistence
+from fallpulley.mesh import messages as mesh
+from fallpulley.shares import messages as shares
+from fallpulley.standby import entries, replica
+from fallpulley.standby import messages as standby
+from fallpulley.state import client, view
+from fallpulley.workers import messages as workers
+
+
+class Kind(NamedTuple):
+    """A kind of message: what its bytes become, and how they are read and written."""
+
+    type: type[Any]
+    decode: Callable[[bytes], Any]
+    encode: Callable[[Any], bytes] | None  # None: the code only reads it
+
+
+# -- how kinds that are more than the JSON of one struct are read and written --------------------
+
+
+def read_and_written(struct: type[Any]) -> Kind:
+    """The JSON of a struct that the code writes."""
+    return Kind(struct, msgspec.json.Decoder(struct).decode, msgspec.json.encode)
+
+
+def read_only(struct: type[Any]) -> Kind:
+    """The JSON of a struct that the code only reads."""
+    return Kind(struct, msgspec.json.Decoder(struct).decode, None)
+
+
+def one_of(struct: type[Any], decode: Callable[[bytes], Any]) -> Kind:
+    """A tagged struct, read by the decoder of all that it may be."""
+    return Kind(struct, decode, msgspec.json.encode)
+
+
+def compact(value: Any) -> str:
+    """JSON as the code writes it."""
+    return json.dumps(value, ensure_ascii=False, separators=(",", ":"))
+
+
+def decode_transaction(body: bytes) -> list[Any]:
+    """A transaction as the arguments of one write: conditions, and changes by position."""
+    transaction = json.loads(body)
+    conditions = {condition["k"]: condition["stamp"] for condition in transaction["if"]}
+    changes = []
+    for entry in transaction["then"]:
+        value = compact(entry["v"]) if "set" in entry else None
+        changes.append([entry.get("set") or entry["drop"], value, entry.get("tenure")])
+    return [conditions, changes]
+
+
+def encode_transaction(write: list[Any]) -> bytes:
+    """The body that the client of the state service sends for a write."""
+    conditions, changes = write
+    calls: list[Any] = []
+    sender = client.StateClient("state:1", 1000.0, 1000.0, 16, calls.append)
+    encoded = [client.Change(k, v and v.encode(), tenure) for k, v, tenure in changes]
+    sender.write(client.Write(conditions, encoded, lambda status, ledger: None))
+    sender.pump(0.0)
+    (call,) = calls
+    _, method, path, body, *_ = msgspec.structs.astuple(call)
+    assert (method, path) == ("POST", "/txn")
+    assert isinstance(body, bytes)
+    return body
+
+
+def encode_lease_request(lease: dict[str, int]) -> bytes:
+    """The body with which a session asks for its lease."""
+    bodies: list[bytes] = []
+
+    def read(path: str, done: object, priority: object, method: str, body: bytes, *_: Any) -> None:
+        assert (method, path) == ("POST", "/leases")
+        bodies.append(body)
+
+    core: Any = SimpleNamespace(
+        label="node-0", now=0.0, session_s=lease["life_ms"] / 1000, state=SimpleNamespace(read=read)
+    )
+    watched: Any = SimpleNamespace(ready=True)
+    SessionLease(core, watched).tick()
+    return bodies[0]
+
+
+def encode_block(format_number: int) -> Callable[[blocks.BlockHead], bytes]:
+    """Writes a block's record in one of its formats."""
+
+    def encode(head: blocks.BlockHead) -> bytes:
+        record, versions = msgspec.structs.astuple(head)
+        *fields, _ = msgspec.structs.astuple(record)
+        parts = {number: blocks.Part(version, {}) for number, version in versions.items()}
+        whole = blocks.BlockRecord(*[*fields, parts])
+        return whole.encode(format_number > 1, 16 * 1024)
+
+    return encode
+
+
+def decode_payload(shape: Any) -> Callable[[bytes], Any]:
+    """Reads a compressed payload between holder and followers."""
+
+    def decode(body: bytes) -> Any:
+        plain = standby.unpack(body, standby.checksum_of(body))
+        return msgspec.json.decode(plain, type=shape)
+
+    return decode
+
+
+def load_settings(body: bytes) -> settings.Settings:
+    """Load both settings files: the platform's, and after a line of its own the operators'.
+
+    Those of the deployed copy are left out, since they may change at any time.
+    """
+    platform, _, operators = body.decode().partition("# -- operators\n")
+    with tempfile.TemporaryDirectory() as directory:
+        path = pathlib.Path(directory) / "settings.toml"
+        path.write_text(platform, encoding="utf-8")
+        (path.parent / settings.OPERATORS_FILE).write_text(operators, encoding="utf-8")
+        try:
+            with mock.patch.object(settings, "DEPLOYED_FILES", ()):
+                return settings.load(str(path))
+        except settings.SettingsError as error:
+            raise settings.SettingsError(str(error).replace(f"{directory}/", "")) from None
+
+
+def load_operators(body: bytes) -> settings.Operators:
+    """The operators' settings alone, without those of the deployed copy."""
+    return msgspec.convert(tomllib.loads(body.decode()), settings.Operators)
+
+
+decode_entry = msgspec.json.Decoder(entries.Entry).decode
+
+# -- the table: the one place that names types ---------------------------------------------------
+
+KINDS: dict[str, Kind] = {
+    # Users.
+    "submission": Kind(jobs.Submission, jobs.parse_submission, None),
+    "job named by a submission": Kind(str, jobs.named_job, None),
+    "stage": read_and_written(jobs.Stage),
+    # Workers.
+    "report": Kind(workers.Report, workers.parse_report, None),
+    "orders": read_and_written(workers.Orders),
+    "direct": read_and_written(workers.Direct),
+    "foreman": read_and_written(workers.Foreman),
+    # Cloud.
+    "catalog": read_and_written(fleet.Catalog),
+    "rental request": read_and_written(fleet.RentalRequest),
+    "rental answer": read_only(fleet.RentalAnswer),
+    "release": read_and_written(fleet.Release),
+    "machine list": read_only(fleet.MachineList),
+    # State service.
+    "lease request": Kind(dict, json.loads, encode_lease_request),
+    "lease grant": read_only(blocks.Grant),
+    "transaction": Kind(list, decode_transaction, encode_transaction),
+    "transaction answer": read_only(client._TxnReply),
+    "page": read_only(view._Page),
+    "changes": read_only(view._Changes),
+    "progress page": read_only(persistence._Page),
+    "progress pair": read_only(persistence._Pair),
+    # Stored records.
+    "session": read_and_written(blocks.Session),
+    "format mark": read_and_written(blocks.FormatMark),
+    "team home": read_and_written(blocks.TeamHome),
+    "retired": read_and_written(blocks.Retired),
+    "job record": read_and_written(jobs.JobRecord),
+    "progress": read_and_written(jobs.Progress),
+    "block, format 1": Kind(blocks.BlockHead, blocks.decode_head, encode_block(1)),
+    "block, format 2": Kind(blocks.BlockHead, blocks.decode_head, encode_block(2)),
+    "block, format 3": Kind(blocks.BlockHead, blocks.decode_head, encode_block(3)),
+    "block part": Kind(blocks.Part, blocks.decode_part, blocks.encode_part),
+    "block, outside": read_and_written(blocks._BlockWire),
+    "block part, outside": read_and_written(blocks._PartWire),
+    "machines by groups": Kind(dict, packing.unpack_groups, packing.pack_groups),
+    "machines by runs": Kind(dict, packing.unpack_runs, packing.pack_runs),
+    "group of machines": read_and_written(packing._Group),
+    "runs of machines": read_and_written(packing._Kind),
+    "duty": read_and_written(duties.DutyRecord),
+    "intent": read_and_written(duties.Intent),
+    "share table": read_and_written(shares.ShareTable),
+    # Between controllers.
+    "heartbeat": one_of(mesh.Heartbeat, mesh.decode),
+    "called off": one_of(mesh.CalledOff, mesh.decode),
+    "log batch": Kind(standby.LogBatch, standby.decode, standby.encode),
+    "snapshot part": Kind(standby.SnapshotPart, standby.decode, standby.encode),
+    "acknowledgement": Kind(standby.Acknowledgement, standby.decode, standby.encode),
+    "replaced": Kind(standby.Replaced, standby.decode, standby.encode),
+    "checksum": Kind(int, standby.checksum_of, None),
+    "entries payload": Kind(list, decode_payload(list[entries.Entry]), standby.pack),
+    "snapshot payload": Kind(replica.Snapshot, decode_payload(replica.Snapshot), standby.pack),
+    "snapshot": read_and_written(replica.Snapshot),
+    "entry started": one_of(entries.Started, decode_entry),
+    "entry stopped": one_of(entries.Stopped, decode_entry),
+    "entry left": one_of(entries.Left, decode_entry),
+    "entry job": one_of(entries.JobLearned, decode_entry),
+    "entry class": one_of(entries.ClassLearned, decode_entry),
+    "entry granted": one_of(entries.Granted, decode_entry),
+    "entry marked": one_of(entries.Marked, decode_entry),
+    "entry released": one_of(entries.Released, decode_entry),
+    "entry reachable": one_of(entries.Reachable, decode_entry),
+    "entry cached": one_of(entries.Cached, decode_entry),
+    # Operators.
+    "shares request": read_and_written(shares.SetShares),
+    "shares answer": read_and_written(shares.SharesAnswer),
+    "shares error": read_and_written(shares.ErrorAnswer),
+    # Settings.
+    "settings": Kind(settings.Settings, load_settings, None),
+    "operators": Kind(settings.Operators, load_operators, None),
+}
+
+# What decoders raise for malformed bytes.
+REFUSALS = (msgspec.MsgspecError, settings.SettingsError, standby.PayloadError)
+
+# -- from here on nothing names a type or a field ------------------------------------------------
+
+DATA = pathlib.Path(__file__).parent / "data" / "wire_goldens.json"
+GOLDENS: list[dict[str, Any]] = json.loads(DATA.read_text(encoding="utf-8"))["goldens"]
+
+
+def bytes_of(golden: dict[str, Any]) -> bytes:
+    """The recorded bytes, which stand in the data as text or in base64."""
+    if "base64" in golden:
+        return base64.b64decode(golden["base64"], validate=True)
+    text: str = golden["text"]
+    return text.encode()
+
+
+def positional(value: Any) -> Any:
+    """A decoded value without names: structs become lists of their fields' values."""
+    if isinstance(value, msgspec.Struct):
+        return [positional(getattr(value, name)) for name in value.__struct_fields__]
+    if isinstance(value, dict):
+        return {key: positional(item) for key, item in value.items()}
+    if isinstance(value, list | tuple):
+        return [positional(item) for item in value]
+    if isinstance(value, msgspec.Raw):
+        return bytes(value).decode()
+    if isinstance(value, bytes):
+        return base64.b64encode(value).decode()
+    return value
+
+
+def as_text(values: Any) -> str:
+    """Values as text, which tells 4 from 4.0 and keeps the order of keys."""
+    return json.dumps(values, ensure_ascii=False, indent=1)
+
+
+def refusal_of(kind: Kind, body: bytes) -> str | None:
+    """Why the decoder refuses the bytes, empty where it gives no reason; None: it takes them."""
+    try:
+        decoded = kind.decode(body)
+    except REFUSALS as error:
+        return str(error)
+    if decoded is None:
+        return ""
+    return decoded if isinstance(decoded, str) and kind.type is not str else None
+
+
+def named(goldens: list[dict[str, Any]]) -> list[Any]:
+    """Goldens as a test's cases, each under its name."""
+    return [pytest.param(golden, id=f"{golden['kind']}: {golden['name']}") for golden in goldens]
+
+
+TAKEN = [golden for golden in GOLDENS if "values" in golden]
+REFUSED = [golden for golden in GOLDENS if "refused" in golden]
+WRITTEN = [
+    golden
+    for golden in TAKEN
+    if KINDS[golden["kind"]].encode is not None and not golden.get("decode_only")
+]
+
+
+@pytest.mark.parametrize("golden", named(TAKEN))
+def test_decodes_to_the_recorded_values(golden: dict[str, Any]) -> None:
+    kind = KINDS[golden["kind"]]
+    decoded = kind.decode(bytes_of(golden))
+    assert type(decoded) is kind.type
+    assert as_text(positional(decoded)) == as_text(golden["values"])
+
+
+@pytest.mark.parametrize("golden", named(WRITTEN))
+def test_encodes_to_the_recorded_bytes(golden: dict[str, Any]) -> None:
+    kind = KINDS[golden["kind"]]
+    assert kind.encode is not None
+    body = bytes_of(golden)
+    assert kind.encode(kind.decode(body)) == body
+
+
+@pytest.mark.parametrize("golden", named(REFUSED))
+def test_refuses_malformed_bytes(golden: dict[str, Any]) -> None:
+    assert refusal_of(KINDS[golden["kind"]], bytes_of(golden)) == golden["refused"]
+
+
+def test_every_kind_has_goldens() -> None:
+    taken = {golden["kind"] for golden in TAKEN}
+    written = {golden["kind"] for golden in WRITTEN}
+    assert taken == set(KINDS)
+    assert written == {name for name, kind in KINDS.items() if kind.encode is not None}
+
+
+def test_names_are_unique() -> None:
+    names = [(golden["kind"], golden["name"]) for golden in GOLDENS]
+    assert len(set(names)) == len(names)
