--- /dev/null
+++ b/tests/traces/adapter.py
@@ -0,0 +1,216 @@
+"""The simulated cluster as scenarios use it, whatever its own names are in the sources played."""
+
+from __future__ import annotations
+
+import functools
+import json
+from collections.abc import Callable
+from typing import Any
+
+from tests.traces.names import find, read, write
+from tests.traces.recorder import Recorder
+
+# What becomes of a message from one controller to another: copies, each after so many seconds.
+Link = Callable[[str, str, bytes], list[float]]
+
+
+def _ignore(*answer: object) -> None:
+    pass
+
+
+class Cluster:
+    """Three controllers, workers, state service and cloud, with all that can go wrong."""
+
+    def __init__(
+        self,
+        recorder: Recorder,
+        machines: int,
+        capacity: int,
+        operators: dict[str, Any],
+        facts: dict[str, Any],
+    ) -> None:
+        self._recorder = recorder
+        self._world = find("World")(machines, start=False, operators=operators, **facts)
+        self.labels: list[str] = list(find("LABELS"))
+        self._processes = 0
+        write(self._world, "capacity", capacity)
+
+    def _read(self, attribute: str) -> Any:
+        return read(self._world, attribute)
+
+    # -- time ------------------------------------------------------------------------------
+
+    @property
+    def now(self) -> float:
+        return float(self._read("now"))
+
+    def step(self) -> None:
+        self._read("step")()
+
+    def set_step(self, seconds: float) -> None:
+        write(self._world, "step_s", seconds)
+
+    # -- controllers -----------------------------------------------------------------------
+
+    def running(self) -> list[str]:
+        return sorted(self._read("controllers"))
+
+    def boot(
+        self, label: str, older: bool = False, operators: dict[str, Any] | None = None
+    ) -> None:
+        """`older`: a process that does not know the newer record format."""
+        self._read("boot")(label, older=older, operators=operators)
+        self._processes += 1
+        self._recorder.began(self._read("controllers")[label], label, self._processes)
+
+    def crash(self, label: str) -> None:
+        self._read("crash")(label)
+
+    def pause(self, label: str) -> None:
+        self._read("paused").add(label)
+
+    def resume(self, label: str) -> None:
+        self._read("paused").discard(label)
+
+    def leader(self) -> str:
+        """By the state service; the first controller while there is none."""
+        entry = self._read_state("data").get("live/leader")
+        return str(entry[0]["label"]) if entry else self.labels[0]
+
+    def holder(self) -> str:
+        """The holder of the first block; the first controller while there is none."""
+        for key, (record, _, _) in sorted(self._read_state("data").items()):
+            if key.startswith("live/block/"):
+                return str(record["holder"])
+        return self.labels[0]
+
+    def set_clock(self, label: str, wall_ahead_s: float, rate: float) -> None:
+        """`rate`: how much faster than the others' its steady clock runs."""
+        self._read("wall_ahead")[label] = wall_ahead_s
+        self._read("clock_rate")[label] = rate
+
+    # -- requests and messages -------------------------------------------------------------
+
+    def request(self, label: str, method: str, path: str, body: Any = None) -> None:
+        """A user's or worker's request; `body` is bytes, or what is sent as JSON."""
+        self._read("ask")(label, method, path, body)
+
+    def operators_request(self, label: str, method: str, path: str, body: Any = None) -> None:
+        data = body if isinstance(body, bytes) else json.dumps(body).encode() if body else b""
+        ticket = functools.partial(_ignore)  # one of its own: answers are told apart by it
+        self._read("commands")[label].append(find("OperatorRequest")(ticket, method, path, data))
+
+    def peer_message(self, label: str, body: bytes) -> None:
+        self._read("commands")[label].append(find("PeerMessage")(body))
+
+    def reports_of(self, host: str) -> list[bytes]:
+        """Bodies of the check-ins that this machine has sent."""
+        return list(self._read("sent").get(host, []))
+
+    def set_link(self, link: Link) -> None:
+        write(self._world, "link", link)
+
+    # -- the network -----------------------------------------------------------------------
+
+    def cut(self, one: str, other: str) -> None:
+        """`other`: a controller, a machine, "state" or "cloud"."""
+        self._read("cut").add((one, other))
+
+    def heal(self, one: str, other: str) -> None:
+        self._read("cut").discard((one, other))
+
+    # -- the state service -----------------------------------------------------------------
+
+    def _read_state(self, attribute: str) -> Any:
+        return read(self._read("state"), attribute)
+
+    def set_state_down(self, down: bool) -> None:
+        write(self._read("state"), "down", down)
+
+    def set_state_delay(self, seconds: float) -> None:
+        write(self._world, "slow_s", seconds)
+
+    def set_refused(self, label: str, refused: bool) -> None:
+        """The state service answers this controller with 503."""
+        (self._read("refused").add if refused else self._read("refused").discard)(label)
+
+    def set_unanswered(self, label: str, late_s: float | None) -> None:
+        """This controller's transactions get no answer and take effect so much later."""
+        if late_s is None:
+            self._read("unanswered").pop(label, None)
+        else:
+            self._read("unanswered")[label] = late_s
+
+    def set_state_limits(self, value_bytes: int, txn_ops: int, write_rps: float) -> None:
+        state = self._read("state")
+        write(state, "value_bytes", value_bytes)
+        write(state, "txn_ops", txn_ops)
+        write(state, "write_rps", write_rps)
+
+    def put_record(self, key: str, value: Any) -> None:
+        """A record that was there before any controller was."""
+        state = self._read("state")
+        stamp = read(state, "ledger") + 1
+        write(state, "ledger", stamp)
+        read(state, "data")[key] = (value, stamp, None)
+        read(state, "log").append({"set": key, "v": value, "stamp": stamp})
+        if "spec" in value:
+            self._read("specs")[key.rpartition("/")[2]] = value["spec"]
+
+    def skip_boots(self, number: int) -> None:
+        """Processes from now on have other names than those in records that were there before."""
+        write(self._world, "boots", number)
+
+    # -- machines --------------------------------------------------------------------------
+
+    def hosts(self) -> list[str]:
+        return sorted(self._read("workers"))
+
+    def add_machine(self, zone: str, spot: bool) -> None:
+        self._read("machine")(zone, spot)
+
+    def take_machine(self, host: str) -> None:
+        """The cloud takes it away."""
+        self._read("workers").pop(host, None)
+
+    def set_hung(self, host: str, hung: bool) -> None:
+        self._set_of_worker(host, "hung", hung)
+
+    def set_recall(self, host: str, seconds: float | None) -> None:
+        """A spot machine reports that it will be taken after so long."""
+        self._set_of_worker(host, "recall_s", seconds)
+
+    def _set_of_worker(self, host: str, attribute: str, value: object) -> None:
+        worker = self._read("workers").get(host)
+        if worker is not None:
+            write(worker, attribute, value)
+
+    def set_unheard(self, host: str, way: str, unheard: bool) -> None:
+        """`way`: "answers_lost", "mute" or "no_direct"; see `World`."""
+        hosts = self._read(way)
+        (hosts.add if unheard else hosts.discard)(host)
+
+    def set_cause(self, host: str, cause: str | None) -> None:
+        """Every task that ends on this machine ends so."""
+        if cause is None:
+            self._read("errors").pop(host, None)
+        else:
+            self._read("errors")[host] = cause
+
+    def set_duration(self, job: str, seconds: float) -> None:
+        self._read("times")[job] = seconds
+
+    # -- the cloud -------------------------------------------------------------------------
+
+    def set_cloud_down(self, down: bool) -> None:
+        write(self._world, "cloud_down", down)
+
+    def set_cloud_late(self, label: str, late_s: float | None) -> None:
+        """This controller's actions get no answer and are carried out so much later."""
+        if late_s is None:
+            self._read("cloud_late").pop(label, None)
+        else:
+            self._read("cloud_late")[label] = late_s
+
+    def set_capacity(self, machines: int) -> None:
+        write(self._world, "capacity", machines)
--- /dev/null
+++ b/tests/traces/timeline.py
@@ -0,0 +1,30 @@
+"""What happens when: actions that are due at times of the simulated cluster."""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+from collections.abc import Callable
+
+from tests.traces.adapter import Cluster
+
+Action = Callable[[], None]
+
+
+class Timeline:
+    """Steps the cluster, and does what is due before each step."""
+
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster = cluster
+        self._due: list[tuple[float, int, Action]] = []
+        self._order = itertools.count()
+
+    def after(self, seconds: float, action: Action) -> None:
+        heapq.heappush(self._due, (self.cluster.now + seconds, next(self._order), action))
+
+    def run(self, seconds: float) -> None:
+        until = self.cluster.now + seconds
+        while self.cluster.now < until:
+            while self._due and self._due[0][0] <= self.cluster.now:
+                heapq.heappop(self._due)[2]()
+            self.cluster.step()
--- /dev/null
+++ b/tests/traces/trees.py
@@ -0,0 +1,49 @@
+"""Trees of sources to play: the one at hand, and worktrees of revisions; and where traces lie."""
+
+from __future__ import annotations
+
+import hashlib
+import pathlib
+import subprocess
+
+ROOT = pathlib.Path(__file__).parent.parent.parent
+WORK = ROOT / "target" / "traces"
+
+
+def git(*arguments: str) -> str:
+    done = subprocess.run(
+        ["git", "-C", str(ROOT), *arguments], check=True, capture_output=True, text=True
+    )
+    return done.stdout.strip()
+
+
+def commit_of(revision: str) -> str:
+    return git("rev-parse", "--verify", f"{revision}^{{commit}}")
+
+
+def tree_of(commit: str) -> pathlib.Path:
+    """A worktree of the commit, kept for the next time."""
+    tree = WORK / "trees" / commit
+    if not (tree / ".git").exists():
+        # By force: it may be known still, though its folder was removed.
+        git("worktree", "add", "--force", "--quiet", "--detach", str(tree), commit)
+    return tree
+
+
+def hash_of_package() -> str:
+    """Of all that decides what is played, apart from the sources that are played."""
+    here = pathlib.Path(__file__).parent
+    files = [*sorted(here.glob("*.py")), here.parent / "data" / "production.json"]
+    found = hashlib.sha256()
+    for file in files:
+        found.update(file.name.encode() + b"\0" + file.read_bytes() + b"\0")
+    return found.hexdigest()[:16]
+
+
+def kept_traces(commit: str, hash_seed: int) -> pathlib.Path:
+    """Where the traces of a commit are kept."""
+    return WORK / "kept" / f"{commit[:16]}-{hash_of_package()}-{hash_seed}"
+
+
+def traces_at_hand(hash_seed: int) -> pathlib.Path:
+    return WORK / "at-hand" / str(hash_seed)
