--- a/tests/traces/adapter.py
+++ b/tests/traces/adapter.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tests.traces.names import find, read, write
-from tests.traces.recorder import Recorder
+from tests.traces.recorder import Recorder, Tamper
 
 # What becomes of a message from one controller to another: copies, each after so many seconds.
 Link = Callable[[str, str, bytes], list[float]]
@@ -103,6 +103,10 @@
     def peer_message(self, label: str, body: bytes) -> None:
         self._read("commands")[label].append(find("PeerMessage")(body))
 
+    def set_tamper(self, tamper: Tamper | None) -> None:
+        """From now on this may change what controllers are told; None: nothing does."""
+        self._recorder.tamper = tamper
+
     def reports_of(self, host: str) -> list[bytes]:
         """Bodies of the check-ins that this machine has sent."""
         return list(self._read("sent").get(host, []))
@@ -148,13 +152,13 @@
         write(state, "write_rps", write_rps)
 
     def put_record(self, key: str, value: Any) -> None:
-        """A record that was there before any controller was."""
+        """A record that no controller of these has written."""
         state = self._read("state")
         stamp = read(state, "ledger") + 1
         write(state, "ledger", stamp)
         read(state, "data")[key] = (value, stamp, None)
         read(state, "log").append({"set": key, "v": value, "stamp": stamp})
-        if "spec" in value:
+        if isinstance(value, dict) and "spec" in value:
             self._read("specs")[key.rpartition("/")[2]] = value["spec"]
 
     def skip_boots(self, number: int) -> None:
--- /dev/null
+++ b/tests/traces/damage.py
@@ -0,0 +1,58 @@
+"""Damage to what controllers are told: answers and messages that cannot be read.
+
+Commands are changed by position, as `recorder` reads them. Nothing is made up that could be taken
+for a true answer: an answer that cannot be read leaves open what was carried out.
+"""
+
+from __future__ import annotations
+
+import random
+import re
+from typing import Any
+
+from tests.traces.recorder import fields_of
+
+PAYLOAD = re.compile(rb'"([A-Za-z0-9+/=]{24,})"')
+
+
+def is_outcome(fields: list[Any]) -> bool:
+    """The outcome of a call: how it is told, status, body, when the call was sent."""
+    return len(fields) == 4 and isinstance(fields[1], int) and isinstance(fields[2], bytes)
+
+
+def is_message(fields: list[Any]) -> bool:
+    return len(fields) == 1 and isinstance(fields[0], bytes)
+
+
+class Damage:
+    """Damages a part of what comes."""
+
+    def __init__(self, chance: random.Random, part: float) -> None:
+        self.chance = chance
+        self.part = part
+
+    def __call__(self, batch: list[Any]) -> None:
+        for command in batch:
+            if self.chance.random() < self.part:
+                self.damage(command)
+
+    def damage(self, command: Any) -> None:
+        names, fields = command.__struct_fields__, fields_of(command)
+        if is_outcome(fields):
+            if b'"news"' in fields[2] and self.chance.random() < 0.5:
+                # The changes asked for are no longer kept, or are too many for one answer.
+                setattr(command, names[1], self.chance.choice([410, 0]))
+            elif fields[1] in (200, 409):
+                setattr(command, names[2], self.broken(fields[2]))
+        elif is_message(fields):
+            setattr(command, names[0], self.broken_message(fields[0]))
+
+    def broken(self, body: bytes) -> bytes:
+        return self.chance.choice([b"", b"{", b"[]", b"\xff\xfe", body[: len(body) // 2]])
+
+    def broken_message(self, body: bytes) -> bytes:
+        payload = PAYLOAD.search(body)
+        if payload is None or self.chance.random() < 0.5:
+            return body[: self.chance.randrange(1 + len(body))]
+        begin, end = payload.span(1)
+        return body[:begin] + payload[1][::-1] + body[end:]
--- a/tests/traces/failures.py
+++ b/tests/traces/failures.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 
 from tests.traces.adapter import Cluster
+from tests.traces.damage import Damage
 from tests.traces.timeline import Action, Timeline
 
 Failure = Callable[[Cluster, random.Random], Action]
@@ -118,6 +119,12 @@
     return lambda: cluster.set_link(lambda one, other, body: [0.0])
 
 
+def answers_damaged(cluster: Cluster, chance: random.Random) -> Action:
+    """Some answers and messages cannot be read."""
+    cluster.set_tamper(Damage(chance, chance.choice([0.02, 0.2])))
+    return lambda: cluster.set_tamper(None)
+
+
 NETWORK: list[Failure] = [
     cut_from_controllers,
     cut_from_state,
--- a/tests/traces/recorder.py
+++ b/tests/traces/recorder.py
@@ -15,6 +15,7 @@
 from tests.traces.names import find, name_on
 
 Step = Callable[[Any, list[Any], float, float], list[Any]]
+Tamper = Callable[[list[Any]], None]
 
 
 class ErrorCount(logging.Handler):
@@ -46,6 +47,8 @@
         self.out = out
         self.steps = 0
         self.effects = 0
+        # Changes what a controller is told before it is recorded: answers may come damaged.
+        self.tamper: Tamper | None = None
         self._errors = ErrorCount()
         self._processes: dict[int, tuple[str, int]] = {}  # by the controller's identity
         # Requests that wait for their answers, by their tickets' identity.
@@ -62,6 +65,8 @@
     def wrapped(self, step: Step) -> Step:
         def recorded(controller: Any, batch: list[Any], now: float, wall: float) -> list[Any]:
             before = self._errors.count
+            if self.tamper is not None:
+                self.tamper(batch)
             told = [self.command(command) for command in batch]
             effects = step(controller, batch, now, wall)
             asked = [self.effect(effect) for effect in effects]
--- a/tests/traces/scenarios.py
+++ b/tests/traces/scenarios.py
@@ -40,6 +40,7 @@
 }
 # And of those that are hard to place.
 DEMANDING: dict[str, list[Any]] = ORDINARY | {
+    "jobclass": ["work", "urgent", "dated"],
     "shape": ["sweep", "ensemble", "service"],
     "one_zone": [False, True],
     "apart": [False, False, True],
@@ -52,6 +53,15 @@
 }
 
 
+# Aims of classes of jobs: tasks are stopped for those that would wait too long.
+OBJECTIVES: list[dict[str, Any]] = [
+    {"kind": "wait", "class": "urgent", "within_s": 12.0, "share": 0.9},
+    {"kind": "wait", "class": "work", "within_s": 60.0, "share": 0.9},
+    {"kind": "deadline", "class": "dated", "share": 0.9},
+    {"kind": "wait", "class": "dated", "within_s": 30.0, "share": 0.9},
+]
+
+
 @dataclass(frozen=True)
 class Scenario:
     seed: int
@@ -132,6 +142,8 @@
             users.submit(8.0, rank=rank, pieces=6, cpus=4.0)
             users.submit(8.0, rank=rank, pieces=2, shape="ensemble", cpus=8.0)
             users.submit(8.0, rank=rank, pieces=1, shape="service", due_s=20.0)
+            users.submit(8.0, rank=rank, pieces=4, jobclass="urgent", loaners=False)
+            users.submit(8.0, rank=rank, pieces=2, jobclass="dated", due_s=30.0)
             timeline.run(chance.uniform(0.0, 6.0))
         timeline.run(20.0 if turn % 2 else 45.0)
     boot_missing(timeline.cluster, timeline.cluster.labels)
@@ -269,7 +281,73 @@
     cluster.set_state_limits(2048, 5, 18.0)
     timeline.run(25.0)
     cluster.set_capacity(0)
-    timeline.run(60.0)
+    timeline.run(90.0)
+    cluster.set_capacity(600)
+    users.submit(5.0, pieces=1200, expect_s=30.0)
+    timeline.run(40.0)
+
+
+def parts_of_small_values(timeline: Timeline, chance: random.Random) -> None:
+    """Values hold so little that parts are split; the fleet shrinks and grows again."""
+    cluster = timeline.cluster
+    timeline.run(2.0)
+    users = Users(timeline, chance, 2.0)
+    for turn in range(3):
+        cluster.set_capacity([700, 150, 500][turn])
+        for _ in range(3):
+            users.submit(8.0, pieces=400, expect_s=8.0, size_gb=0.1)
+        timeline.run(15.0)
+        Failures(timeline, chance, failures.CONTROLLERS + failures.MACHINES, 4.0).begin(20.0)
+        timeline.run(25.0)
+        boot_missing(cluster, cluster.labels)
+        timeline.run(20.0)
+
+
+def thousand_jobs(timeline: Timeline, chance: random.Random) -> None:
+    """More open jobs than a heartbeat tells of."""
+    timeline.run(5.0)
+    users = Users(timeline, chance, 1.0)
+    for _ in range(230):
+        for _ in range(5):
+            users.submit(chance.uniform(1.0, 6.0), pieces=1, cpus=4.0, rank=chance.choice(RANKS))
+        timeline.run(0.05)
+    timeline.run(10.0)
+    timeline.cluster.crash(timeline.cluster.holder())
+    timeline.run(15.0)
+    boot_missing(timeline.cluster, timeline.cluster.labels)
+    timeline.run(5.0)
+
+
+BROKEN_RECORDS: dict[str, Any] = {
+    "live/job/job-900001": {"stage": 7},
+    "live/job/nonsense": {},
+    "live/block/zz": {"holder": "nobody", "boot": 7},
+    "live/machines/zz/0": [1, 2],
+    "live/machines/zz": {},
+    "live/session/nobody": {"boot": 1},
+    "live/team/nobody": 5,
+    "live/retire/vm-999999": [],
+    "live/shares": {"revision": "none"},
+    "live/catalog": {"builds": 3},
+    "live/duty/nothing": {"holder": 3},
+    "live/intent/nothing": {"token": "x"},
+    "live/unheard-of": {},
+}
+
+
+def broken_records(timeline: Timeline, chance: random.Random) -> None:
+    """Records that cannot be read, beside answers that cannot."""
+    cluster = timeline.cluster
+    timeline.run(5.0)
+    Users(timeline, chance, 1.0, **ORDINARY).begin(90.0)
+    kinds = [failures.answers_damaged, failures.answers_damaged, *failures.CONTROLLERS]
+    Failures(timeline, chance, kinds, 4.0).begin(90.0)
+    for key, value in BROKEN_RECORDS.items():
+        timeline.run(5.0)
+        cluster.put_record(key, value)
+    timeline.run(40.0)
+    boot_missing(cluster, cluster.labels)
+    timeline.run(40.0)
 
 
 def several_blocks(timeline: Timeline, chance: random.Random) -> None:
@@ -284,6 +362,21 @@
     )
 
 
+WRONG_SHARES: list[dict[str, Any]] = [
+    {},
+    {"node-9": {"weight": 1.0}},
+    {"node-0": {"weight": -1.0}},
+    {"node-0": {"weight": 0.0}},
+    {"node-0": {"weight": 1.0, "floor": -2.0}},
+    {"node-0": {"weight": 1.0, "ceiling": -2.0}},
+    {"node-0": {"weight": 1.0, "floor": 20.0, "ceiling": 10.0}},
+    {"node-0": {"weight": 1.0, "floor": 1e6}},
+    {"node-0": {"weight": 1.0, "heaviness": 2.0}},
+    {"node-0": {"weight": 1.0, "teams": ["small"]}, "node-1": {"weight": 1.0, "teams": ["small"]}},
+    {"node-0": {"weight": 1.0, "teams": ["crew"] * 1500}},
+]
+
+
 class OperatorsTool:
     """An operator's tool that changes the shares of the fleet now and then."""
 
@@ -298,6 +391,8 @@
     def shares(self) -> dict[str, Any]:
         labels = self.timeline.cluster.labels
         chosen = self.chance.sample(labels, self.chance.choice([1, 2, 2, 3]))
+        if self.chance.random() < 0.2:
+            return self.chance.choice(WRONG_SHARES)
         shares: dict[str, Any] = {}
         for label in chosen:
             shares[label] = {"weight": self.chance.choice([1.0, 2.0, 5.0])}
@@ -368,6 +463,7 @@
     *failures.STATE,
     *failures.MACHINES,
     *failures.CLOUD,
+    failures.answers_damaged,
 ]
 LARGE_FACTS: dict[str, Any] = {
     "workers": {"report_s": 10.0, "lease_s": 40.0, "cancel_s": 150.0},
@@ -395,11 +491,15 @@
     ),
     "all_kinds_fail": Scenario(8, functools.partial(troubled, kinds=ALL_KINDS)),
     "demanding_jobs": Scenario(
-        9, functools.partial(troubled, kinds=ALL_KINDS, fields=DEMANDING, failures_every_s=6.0)
+        9,
+        functools.partial(troubled, kinds=ALL_KINDS, fields=DEMANDING, failures_every_s=6.0),
+        facts={"objectives": OBJECTIVES},
     ),
     "all_boot_within_a_second": Scenario(10, all_boot_within_a_second),
     "pipelines": Scenario(11, pipelines),
-    "preemption": Scenario(12, preemption, machines=4, capacity=4),
+    "preemption": Scenario(
+        12, preemption, machines=4, capacity=4, facts={"objectives": OBJECTIVES}
+    ),
     "large_arrays": Scenario(13, large_arrays),
     "clocks_apart": Scenario(14, clocks_apart),
     "older_first": Scenario(
@@ -424,6 +524,22 @@
     "records_in_parts": Scenario(
         18, records_in_parts, machines=0, capacity=1300, facts=LARGE_FACTS, step_s=0.1
     ),
+    "parts_of_small_values": Scenario(
+        26,
+        parts_of_small_values,
+        machines=0,
+        capacity=700,
+        facts=LARGE_FACTS
+        | {
+            "workers": {"report_s": 2.0, "lease_s": 10.0, "cancel_s": 40.0},
+            "state": STATE_LIMITS | {"value_kb": 0.8, "txn_ops": 4},
+        },
+        step_s=0.1,
+    ),
+    "thousand_jobs": Scenario(
+        27, thousand_jobs, facts={"state": STATE_LIMITS | {"rps": 900.0, "write_rps": 900.0}}
+    ),
+    "broken_records": Scenario(28, broken_records, operators=STANDBY | SHARES | DUTIES),
     "several_blocks": Scenario(
         19,
         several_blocks,
@@ -435,7 +551,9 @@
     "standby": Scenario(
         20,
         functools.partial(
-            troubled, kinds=failures.CONTROLLERS + failures.NETWORK, failures_every_s=5.0
+            troubled,
+            kinds=[*failures.CONTROLLERS, *failures.NETWORK, failures.answers_damaged],
+            failures_every_s=5.0,
         ),
         operators=STANDBY,
     ),
