--- a/tests/traces/failures.py
+++ b/tests/traces/failures.py
@@ -159,6 +159,12 @@
     return lambda: cluster.set_unanswered(label, None)
 
 
+def state_limits_lower(cluster: Cluster, chance: random.Random) -> Action:
+    """Values, transactions and changes a second are refused that were allowed before."""
+    cluster.set_state_limits(chance.choice([500, 900, 2048]), chance.choice([2, 5]), 4.0)
+    return lambda: cluster.set_state_limits(16 * 1024, 16, 0.0)
+
+
 STATE: list[Failure] = [state_down, state_slow, state_refuses_one, transactions_unanswered]
 
 # -- machines ------------------------------------------------------------------------------
--- a/tests/traces/scenarios.py
+++ b/tests/traces/scenarios.py
@@ -218,7 +218,7 @@
         timeline.run(1.0)
         cluster.boot(label)
     timeline.run(60.0)
-    cluster.set_state_limits(2048, 5, 18.0)
+    cluster.set_state_limits(2048, 5, 6.0)
     timeline.run(60.0)
     Failures(timeline, chance, failures.CONTROLLERS, 5.0).begin(30.0)
     timeline.run(60.0)
@@ -293,10 +293,13 @@
     timeline.run(2.0)
     users = Users(timeline, chance, 2.0)
     for turn in range(3):
-        cluster.set_capacity([700, 150, 500][turn])
+        cluster.set_capacity([1000, 150, 800][turn])
         for _ in range(3):
-            users.submit(8.0, pieces=400, expect_s=8.0, size_gb=0.1)
+            users.submit(8.0, pieces=600, expect_s=8.0, size_gb=0.1)
         timeline.run(15.0)
+        hosts = cluster.hosts()
+        for host in chance.sample(hosts, len(hosts) // 2):
+            cluster.take_machine(host)
         Failures(timeline, chance, failures.CONTROLLERS + failures.MACHINES, 4.0).begin(20.0)
         timeline.run(25.0)
         boot_missing(cluster, cluster.labels)
@@ -483,6 +486,17 @@
     "state_fails": Scenario(
         5, functools.partial(troubled, kinds=failures.STATE + failures.CONTROLLERS)
     ),
+    "state_limits_change": Scenario(
+        29,
+        functools.partial(
+            troubled,
+            kinds=[failures.state_limits_lower, *failures.CONTROLLERS],
+            failures_every_s=5.0,
+            requests_every_s=0.3,
+            seconds=150.0,
+        ),
+        facts={"state": STATE_WITH_NEXT},
+    ),
     "machines_fail": Scenario(
         6, functools.partial(troubled, kinds=failures.MACHINES, failures_every_s=1.5)
     ),
@@ -532,7 +546,7 @@
         facts=LARGE_FACTS
         | {
             "workers": {"report_s": 2.0, "lease_s": 10.0, "cancel_s": 40.0},
-            "state": STATE_LIMITS | {"value_kb": 0.8, "txn_ops": 4},
+            "state": STATE_LIMITS | {"value_kb": 0.6, "txn_ops": 4},
         },
         step_s=0.1,
     ),
