--- a/fallpulley/blocks/balance.py
+++ b/fallpulley/blocks/balance.py
@@ -67,7 +67,7 @@
         blocks = self.registry.blocks
         if len(blocks) < 2:
             return {}
-        work = {label: self.jobs.load(label) for label in blocks}
+        work = {label: self.jobs.estimated_work(label) for label in blocks}
         machines = sum(len(record.machines) for record, _ in blocks.values())
         return target_sizes(work, machines, self.leadership.per_block)
 
--- a/fallpulley/blocks/commands.py
+++ b/fallpulley/blocks/commands.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from fallpulley.jobs.messages import ENSEMBLE, split_piece
+from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open import OpenJob
 from fallpulley.placement.plan import Booking
 from fallpulley.workers.machine import Machine, Run
@@ -34,21 +34,21 @@
         self, machine: Machine, job: OpenJob, booking: Booking, estimate_s: float
     ) -> Order | None:
         """The order that starts a booked task; None where no attempt may be made now."""
-        if job.spec.shape != ENSEMBLE or not job.runs:
+        if job.spec.kind != JobKind.GANG or not job.runs:
             self.held.touch = self.held.touch or self.held.attempts.wants_stamp
             attempt = self.held.attempts.next(self.held.token)
             if attempt is None:
                 return None
-            job.attempt = attempt
+            job.gang_attempt = attempt
         # The tasks of an ensemble find each other by their common attempt.
         run = Run(
-            job.job,
+            job.job_id,
             booking.index,
-            job.attempt,
+            job.gang_attempt,
             machine.host,
             self.core.now,
             estimate_s,
-            job.need,
+            job.resources,
         )
         job.runs[booking.index] = run
         machine.runs[run.piece] = run
@@ -129,7 +129,7 @@
         orders: list[Order] = []
         for name, piece in machine.pieces.items():
             if piece.stage == ENDED:
-                named = split_piece(name)
+                named = parse_task_id(name)
                 job = self.held.jobs.get(named[0]) if named else None
                 if self._clearable(job, named, piece):
                     orders.append(Order("clear", name, piece.attempt))
@@ -145,6 +145,6 @@
         self, job: OpenJob | None, named: tuple[str, int] | None, piece: PieceState
     ) -> bool:
         """The end is durable, or of no use; and we never repeat an attempt's `run`."""
-        if job is None or named is None or piece.cause != "done" or job.withdrawn:
+        if job is None or named is None or piece.cause != "done" or job.cancelled:
             return True
-        return named[1] < job.spec.pieces and job.is_durable(named[1])
+        return named[1] < job.spec.task_count and job.is_durable(named[1])
--- a/fallpulley/blocks/decisions.py
+++ b/fallpulley/blocks/decisions.py
@@ -22,7 +22,7 @@
     def run_time_learned(self, job: str, observed: int, observed_s: float) -> None:
         """A job's completed tasks and their summed run times."""
 
-    def class_learned(self, jobclass: str, factor: float) -> None:
+    def class_learned(self, job_class: str, factor: float) -> None:
         """A class's correction of its owners' estimates."""
 
     def machine_granted(self, host: str) -> None:
@@ -52,7 +52,7 @@
 
     def run_time_learned(self, job: str, observed: int, observed_s: float) -> None: ...
 
-    def class_learned(self, jobclass: str, factor: float) -> None: ...
+    def class_learned(self, job_class: str, factor: float) -> None: ...
 
     def machine_granted(self, host: str) -> None: ...
 
--- a/fallpulley/blocks/held.py
+++ b/fallpulley/blocks/held.py
@@ -18,9 +18,9 @@
 from fallpulley.blocks.messages import BlockRecord, MachineEntry
 from fallpulley.blocks.silence import LeaseWatch
 from fallpulley.core import DRIFT, Core
-from fallpulley.jobs.messages import SERVICE, JobRecord
+from fallpulley.jobs.messages import JobKind, JobRecord
 from fallpulley.jobs.open import OpenJob
-from fallpulley.jobs.pipelines import Node
+from fallpulley.jobs.pipelines import DependencyNode
 from fallpulley.placement.estimate import Corrections, run_estimate
 from fallpulley.placement.plan import Booking
 from fallpulley.workers.machine import Machine, Run
@@ -75,7 +75,7 @@
 
     # -- jobs ------------------------------------------------------------------------------
 
-    def add_job(self, job: str, record: JobRecord, stamp: int, node: Node | None) -> None:
+    def add_job(self, job: str, record: JobRecord, stamp: int, node: DependencyNode | None) -> None:
         """`node`: its place in a pipeline, if it has one."""
         if record.spec is None:
             return
@@ -86,17 +86,17 @@
         """Tasks of this job may be running where we cannot see them."""
         if not self.unconfirmed and self.loaded:
             return False
-        return job.stamp <= self.taken_stamp
+        return job.mod_revision <= self.taken_stamp
 
     def end_job(self, job: OpenJob, withdrawn: bool) -> None:
         """The record is final: nothing of the job may start or go on."""
-        job.withdrawn = True
+        job.cancelled = True
         self.dirty = True
         for run in list(job.runs.values()):
             self.commands.stop(run, 0.0)
         if not job.runs:
-            self.jobs.pop(job.job, None)
-        log.info("job ended job=%s withdrawn=%s runs=%d", job.job, withdrawn, len(job.runs))
+            self.jobs.pop(job.job_id, None)
+        log.info("job ended job=%s withdrawn=%s runs=%d", job.job_id, withdrawn, len(job.runs))
 
     def runs(self) -> Iterator[Run]:
         for machine in self.machines.values():
@@ -106,9 +106,9 @@
         """What a team's tasks use, counting all that are not proved gone."""
         cpus = cards = 0.0
         for job in self.jobs.values():
-            if job.spec.crew == team:
-                cpus += job.need[0] * len(job.runs)
-                cards += job.need[1] * len(job.runs)
+            if job.spec.team == team:
+                cpus += job.resources[0] * len(job.runs)
+                cards += job.resources[1] * len(job.runs)
         return cpus, cards
 
     def has_unaccounted_tasks(self) -> bool:
@@ -121,10 +121,10 @@
         )
 
     def estimate(self, job: OpenJob) -> float:
-        if job.spec.shape == SERVICE:
+        if job.spec.kind == JobKind.SERVICE:
             return SERVICE_LEASES * self.core.lease_s
-        corrected = job.spec.expect_s * self.corrections.factor(job.spec.jobclass)
-        return run_estimate(corrected, job.observed, job.observed_s)
+        corrected = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
+        return run_estimate(corrected, job.observed_tasks, job.observed_run_s)
 
     # -- machines --------------------------------------------------------------------------
 
@@ -170,14 +170,14 @@
     def stop_broken(self) -> None:
         """What is left of an ensemble that lost a task makes room for all to start anew."""
         for job in self.jobs.values():
-            if not job.broken:
+            if not job.gang_restarting:
                 continue
             if not job.runs:
-                job.broken = False
+                job.gang_restarting = False
                 self.dirty = True
             for run in job.runs.values():
                 if run.stopping is None:
-                    self.commands.stop(run, job.spec.stow_s)
+                    self.commands.stop(run, job.spec.checkpoint_save_s)
 
     def expire_leases(self, fresh_at: float) -> None:
         """Machines whose lease is certainly over hold nothing any more.
@@ -254,7 +254,7 @@
             return
         del job.runs[run.index]
         self.decisions.task_left(run, "gone")
-        job.put_back(run.index)
+        job.requeue(run.index)
         self.dirty = True
-        if job.withdrawn and not job.runs:
-            self.jobs.pop(job.job, None)
+        if job.cancelled and not job.runs:
+            self.jobs.pop(job.job_id, None)
--- a/fallpulley/blocks/intake.py
+++ b/fallpulley/blocks/intake.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from fallpulley.jobs.messages import SERVICE, split_piece
+from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open import OpenJob
 from fallpulley.workers.machine import Machine, Outcome, Run, absorb
 from fallpulley.workers.messages import RUNNING, PieceState, Report
@@ -111,7 +111,7 @@
         for run in outcome.began:
             job = self.held.jobs.get(run.job)
             if job is not None:
-                machine.fetching.pop(job.spec.kit, None)
+                machine.fetching.pop(job.spec.image, None)
             log.debug("task began task=%s machine=%s", run.piece, run.host)
         for piece in outcome.has_unaccounted_tasks:
             self._on_unaccounted(machine, piece)
@@ -124,7 +124,7 @@
             machine.idle_since = None
 
     def _ended(self, machine: Machine, run: Run | None, piece: PieceState) -> None:
-        named = split_piece(piece.piece)
+        named = parse_task_id(piece.piece)
         job = self.held.jobs.get(named[0]) if named else None
         if named is None or job is None:
             return
@@ -132,58 +132,58 @@
             job.runs.pop(run.index, None)
             self.held.decisions.task_left(run, piece.cause or "")
         if piece.cause == "done":
-            if job.mark_done(named[1], self.core.now):
+            if job.mark_completed(named[1], self.core.now):
                 log.debug("task done task=%s machine=%s", piece.piece, machine.host)
                 self._learn(machine, job, run)
         elif run is not None:
             log.info(
                 "task ended task=%s machine=%s cause=%s", piece.piece, machine.host, piece.cause
             )
-            job.put_back(run.index)
+            job.requeue(run.index)
             if piece.cause == "error":
-                job.failed(machine.host, self.core.now, self.core.lease_s)
-                machine.failed_jobs.add(job.job)
+                job.record_failure(machine.host, self.core.now, self.core.lease_s)
+                machine.failed_jobs.add(job.job_id)
             elif piece.cause in ("full", "in_use", "unknown"):
                 machine.refuse_until = self.core.now + self.core.report_s
-        if job.withdrawn and not job.runs:
-            self.held.jobs.pop(job.job, None)
+        if job.cancelled and not job.runs:
+            self.held.jobs.pop(job.job_id, None)
 
     def _learn(self, machine: Machine, job: OpenJob, run: Run | None) -> None:
         machine.completed += 1
-        if run is None or run.running_at is None or job.spec.shape == SERVICE:
+        if run is None or run.running_at is None or job.spec.kind == JobKind.SERVICE:
             return
         took = max(0.1, self.core.now - run.running_at)
         expected = self.held.estimate(job)
         machine.learn_speed(took / expected)
-        job.observed += 1
-        job.observed_s += took
-        jobclass = job.spec.jobclass
-        self.held.corrections.learn(jobclass, job.spec.expect_s, took)
-        self.held.decisions.run_time_learned(job.job, job.observed, job.observed_s)
-        self.held.decisions.class_learned(jobclass, self.held.corrections.factor(jobclass))
+        job.observed_tasks += 1
+        job.observed_run_s += took
+        job_class = job.spec.job_class
+        self.held.corrections.learn(job_class, job.spec.estimated_run_s, took)
+        self.held.decisions.run_time_learned(job.job_id, job.observed_tasks, job.observed_run_s)
+        self.held.decisions.class_learned(job_class, self.held.corrections.factor(job_class))
 
     def _on_unaccounted(self, machine: Machine, piece: PieceState) -> None:
         """A task on the machine that we did not start in this life: keep it or stop it."""
-        named = split_piece(piece.piece)
+        named = parse_task_id(piece.piece)
         job = self.held.jobs.get(named[0]) if named else None
         if (
             named is None
             or job is None
-            or job.withdrawn
-            or named[1] >= job.spec.pieces
-            or job.is_done(named[1])
+            or job.cancelled
+            or named[1] >= job.spec.task_count
+            or job.is_completed(named[1])
             or named[1] in job.runs
             or piece.piece in machine.runs
         ):
             return  # stopped with the next orders
         run = Run(
-            job.job,
+            job.job_id,
             named[1],
             piece.attempt,
             machine.host,
             self.core.now,
             self.held.estimate(job),
-            job.need,
+            job.resources,
             seen=True,
             stage=piece.stage,
             running_at=self.core.now if piece.stage == RUNNING else None,
@@ -204,7 +204,7 @@
             spent = self.core.now - (run.running_at or self.core.now)
             if run.running_at is not None and run.estimate_s - spent < left - 1.0:
                 continue
-            saves = job.spec.bookmark_s > 0
-            if saves and left > job.spec.stow_s + 2 * self.core.report_s:
+            saves = job.spec.checkpoint_interval_s > 0
+            if saves and left > job.spec.checkpoint_save_s + 2 * self.core.report_s:
                 continue  # there is time for more work before saving
             self.held.commands.stop(run, left if saves else 0.0)
--- a/fallpulley/blocks/leadership.py
+++ b/fallpulley/blocks/leadership.py
@@ -14,7 +14,7 @@
 from fallpulley.blocks.shares import FULL_RECORDS, blocks_wanted, machines_per_block
 from fallpulley.core import Core
 from fallpulley.formats import NEWEST_FORMAT
-from fallpulley.state.client import Change, Priority, Write
+from fallpulley.state.client import Change, RequestPriority, Write
 from fallpulley.state.view import View
 
 log = logging.getLogger(__name__)
@@ -124,7 +124,7 @@
                 {FORMAT: self.view.stamp(FORMAT)},
                 [Change(FORMAT, msgspec.json.encode(FormatMark(agreed)))],
                 lambda status, ledger: self._done(FORMAT, f"format {status}"),
-                Priority.ACCEPT,
+                RequestPriority.ACCEPT,
                 alone=True,
                 expires_at=self.core.now + 0.9,
             )
@@ -191,7 +191,7 @@
                 },
                 [Change(LEADER, value, self.session.tenure)],
                 lambda status, ledger: self._done(LEADER, f"lead {status}"),
-                Priority.RENEWAL,
+                RequestPriority.RENEWAL,
                 alone=True,
                 expires_at=self.core.now + 0.9,
             )
@@ -234,7 +234,7 @@
                 conditions,
                 [Change(key, value)],
                 lambda status, ledger: self._done(key, f"take {status}"),
-                Priority.RENEWAL,
+                RequestPriority.RENEWAL,
                 alone=True,
                 expires_at=self.core.now + 0.9,
             )
--- a/fallpulley/blocks/session.py
+++ b/fallpulley/blocks/session.py
@@ -9,7 +9,7 @@
 from fallpulley.blocks.messages import Grant, Session
 from fallpulley.core import Core
 from fallpulley.formats import NEWEST_FORMAT
-from fallpulley.state.client import Change, Priority, Write
+from fallpulley.state.client import Change, RequestPriority, Write
 from fallpulley.state.view import View
 
 log = logging.getLogger(__name__)
@@ -66,7 +66,7 @@
                 self.renewed_at = sent_at
 
         body = msgspec.json.encode({"life_ms": life_ms})
-        self.core.state.read("/leases", done, Priority.RENEWAL, "POST", body, 1.0)
+        self.core.state.read("/leases", done, RequestPriority.RENEWAL, "POST", body, 1.0)
 
     def _renew(self, tenure: int) -> None:
         self._busy = True
@@ -83,7 +83,7 @@
 
         timeout_s = max(0.3, self.core.session_s / RENEWALS)
         path = f"/leases/{tenure}/extend"
-        self.core.state.read(path, done, Priority.RENEWAL, "POST", b"", timeout_s)
+        self.core.state.read(path, done, RequestPriority.RENEWAL, "POST", b"", timeout_s)
 
     def drop(self) -> None:
         self.tenure = None
@@ -110,7 +110,7 @@
                 {self.key: self.view.stamp(self.key)},
                 [Change(self.key, self.value, tenure)],
                 written,
-                Priority.RENEWAL,
+                RequestPriority.RENEWAL,
                 alone=True,
                 expires_at=self.core.now + 2.0,
             )
--- a/fallpulley/blocks/writer.py
+++ b/fallpulley/blocks/writer.py
@@ -11,7 +11,7 @@
 from fallpulley.blocks.registry import BLOCKS, RETIRED, Registry
 from fallpulley.blocks.shares import ENTRY_BYTES, ENTRY_BYTES_NEWER, FULL_RECORDS
 from fallpulley.core import Core
-from fallpulley.state.client import TXN_BYTES, Change, Priority, Write
+from fallpulley.state.client import TXN_BYTES, Change, RequestPriority, Write
 from fallpulley.state.view import View
 
 log = logging.getLogger(__name__)
@@ -187,7 +187,7 @@
             # hundreds of machines is read by every controller at each change.
             self._busy[label] = self.core.now + WRITE_REPORTS * self.core.report_s
 
-        self.core.state.write(Write(conditions, changes, written, Priority.ACCEPT))
+        self.core.state.write(Write(conditions, changes, written, RequestPriority.ACCEPT))
 
     # -- what one transaction changes ------------------------------------------------------
 
--- a/fallpulley/controller.py
+++ b/fallpulley/controller.py
@@ -22,9 +22,9 @@
 from fallpulley.effects import Command, Effect, OperatorRequest, PeerMessage, Request, Result
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.jobs.messages import OPEN, WITHDRAWN
+from fallpulley.jobs.messages import JobState
 from fallpulley.jobs.persistence import JobPersistence
-from fallpulley.jobs.service import JOBS, JobService, Known
+from fallpulley.jobs.service import JOB_PREFIX, JobEntry, JobService
 from fallpulley.mesh.counts import CountsInTurn
 from fallpulley.mesh.messages import CalledOff, MachineRequest
 from fallpulley.mesh.peers import HEARTBEAT_S, Peers
@@ -168,7 +168,7 @@
             if verb == "" and method == "GET":
                 self.jobs.query(ticket, job)
             elif verb == "abort" and method == "POST":
-                self.jobs.abort(ticket, job)
+                self.jobs.cancel(ticket, job)
             elif verb in ("", "abort"):
                 answer(ticket, 405)
             else:
@@ -272,8 +272,8 @@
         if heartbeat is None:
             return
         for job, done, running in heartbeat.counts:
-            if job in self.jobs.known and self.jobs.known[job].stage == OPEN:
-                self.jobs.counts[job] = (done, running)
+            if job in self.jobs.entries and self.jobs.entries[job].state == JobState.OPEN:
+                self.jobs.task_counts[job] = (done, running)
         leader = self.registry.leader
         if leader is not None and heartbeat.boot == leader[0].boot:
             self.provider.targets = heartbeat.targets
@@ -286,11 +286,11 @@
 
     def _tell_called_off(self) -> None:
         """What has just been cancelled here goes to its block's holder, by record or by word."""
-        jobs, self.jobs.called_off = self.jobs.called_off, []
+        jobs, self.jobs.newly_cancelled = self.jobs.newly_cancelled, []
         by_holder: dict[str, list[str]] = {}
         for job in jobs:
-            known = self.jobs.known.get(job)
-            holder = self.registry.holder_of(known.block) if known is not None else None
+            entry = self.jobs.entries.get(job)
+            holder = self.registry.holder_of(entry.block) if entry is not None else None
             if holder == self.core.label:
                 self._call_off([job])
             elif holder is not None:
@@ -303,19 +303,19 @@
         for job in jobs:
             for held in self.held.values():
                 open_job = held.jobs.get(job)
-                if open_job is not None and not open_job.withdrawn:
+                if open_job is not None and not open_job.cancelled:
                     self._called_off.add(job)
                     held.end_job(open_job, True)
 
-    def _add_job(self, held: HeldBlock, job: str, known: Known) -> None:
-        if known.record is not None and job not in self._called_off:
-            held.add_job(job, known.record, known.stamp, self.jobs.pipelines.node(job))
+    def _add_job(self, held: HeldBlock, job: str, entry: JobEntry) -> None:
+        if entry.record is not None and job not in self._called_off:
+            held.add_job(job, entry.record, entry.mod_revision, self.jobs.pipelines.node(job))
 
     # -- shared records --------------------------------------------------------------------
 
     def _on_key(self, key: str, value: bytes | None, stamp: int) -> None:
-        if key.startswith(JOBS):
-            self._on_job(key[len(JOBS) :], value, stamp)
+        if key.startswith(JOB_PREFIX):
+            self._on_job(key[len(JOB_PREFIX) :], value, stamp)
             return
         if key == SHARES:
             if self.shares is not None:
@@ -341,25 +341,25 @@
     def _on_job(self, job: str, value: bytes | None, stamp: int) -> None:
         if self.jobs.on_record(job, value, stamp) is None:
             return
-        touched, self.jobs.touched = self.jobs.touched, set()
+        touched, self.jobs.affected_jobs = self.jobs.affected_jobs, set()
         for name in {job} | touched:
             self._settle_job(name)
 
     def _settle_job(self, job: str) -> None:
         """Bring what its block's holder has of a job up to its record, and to others' records."""
-        known = self.jobs.known[job]
-        held = self.held.get(known.block)
+        entry = self.jobs.entries[job]
+        held = self.held.get(entry.block)
         if held is None:
             return
         open_job = held.jobs.get(job)
-        if known.record is None:
+        if entry.record is None:
             self._called_off.discard(job)
             if open_job is not None:
-                held.end_job(open_job, known.stage == WITHDRAWN)
+                held.end_job(open_job, entry.state == JobState.CANCELLED)
         elif open_job is None:
-            self._add_job(held, job, known)
+            self._add_job(held, job, entry)
         else:
-            open_job.node = self.jobs.pipelines.node(job)
+            open_job.dependency_node = self.jobs.pipelines.node(job)
             held.dirty = True
 
     def _share_writes(self) -> None:
@@ -401,7 +401,7 @@
             previous,
         )
         for job in self.jobs.open_by_block.get(label, ()):
-            self._add_job(held, job, self.jobs.known[job])
+            self._add_job(held, job, self.jobs.entries[job])
         if self.duties is not None:
             self.duties.block_held(held)
         if self.standby is not None:
@@ -455,7 +455,9 @@
                 self.writer.alone.add(held.label)
             if held.touch or (self.core.newer_format and held.label in self.registry.older):
                 self.writer.touching.add(held.label)
-            self.job_persistence.tick(held, self.jobs.derived.get(held.label, {}))
+            self.job_persistence.tick(
+                held, self.jobs.cancelled_with_dependencies.get(held.label, {})
+            )
             if self.session.live():
                 if held.unconfirmed and term is not None:
                     self.autoscaler.prove(held)
@@ -481,9 +483,9 @@
         counts = {}
         for held in self.held.values():
             for job in held.jobs.values():
-                if not job.withdrawn:
-                    counts[job.job] = (job.done, len(job.runs))
-        self.jobs.counts.update(counts)
+                if not job.cancelled:
+                    counts[job.job_id] = (job.completed_count, len(job.runs))
+        self.jobs.task_counts.update(counts)
         return self._counts_in_turn.choose(counts)
 
     def _plan(self) -> None:
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -34,7 +34,7 @@
 )
 from fallpulley.fleet.messages import RentalRequest
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.state.client import Change, Priority, Write
+from fallpulley.state.client import Change, RequestPriority, Write
 from fallpulley.state.view import View
 
 log = logging.getLogger(__name__)
@@ -154,7 +154,7 @@
                 conditions,
                 [Change(key, value, self.session.tenure)],
                 written,
-                Priority.RENEWAL,
+                RequestPriority.RENEWAL,
                 alone=True,
                 expires_at=now + WRITE_WAIT_S,
             )
@@ -264,7 +264,7 @@
                 {duty_key(duty): token, **conditions},
                 [Change(intent_key(duty, token, self._number), value)],
                 written,
-                Priority.ACCEPT,
+                RequestPriority.ACCEPT,
                 expires_at=self.core.now + WRITE_WAIT_S,
             )
         )
@@ -286,7 +286,7 @@
                 {name: stamp},
                 [Change(name, None)],
                 written,
-                Priority.PROGRESS,
+                RequestPriority.PROGRESS,
                 expires_at=self.core.now + WRITE_WAIT_S,
             )
         )
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -26,7 +26,7 @@
     RentalAnswer,
     RentalRequest,
 )
-from fallpulley.state.client import Bucket, Change, Priority, Write
+from fallpulley.state.client import Bucket, Change, RequestPriority, Write
 from fallpulley.state.view import View
 
 log = logging.getLogger(__name__)
@@ -122,7 +122,7 @@
                         {CATALOG: self.view.stamp(CATALOG)},
                         [Change(CATALOG, value)],
                         lambda status, ledger: None,
-                        Priority.PROGRESS,
+                        RequestPriority.PROGRESS,
                     )
                 )
 
@@ -276,7 +276,7 @@
                 {key: self.view.stamp(key), **under},
                 [Change(key, None)],
                 written,
-                Priority.PROGRESS,
+                RequestPriority.PROGRESS,
             )
         )
 
--- a/fallpulley/jobs/messages.py
+++ b/fallpulley/jobs/messages.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import re
-from typing import Annotated, Literal
+from enum import StrEnum
+from typing import Annotated, Final, NamedTuple
 
 import msgspec
 from msgspec import Meta
@@ -11,58 +12,117 @@
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 
-SWEEP, ENSEMBLE, SERVICE = "sweep", "ensemble", "service"
 
-JOB_ID = re.compile(r"job-[0-9]{1,40}")
-JobId = Annotated[str, Meta(pattern=r"^job-[0-9]{1,40}\Z")]
+class JobKind(StrEnum):
+    """How a job's tasks belong together. Values as in the protocol's field `shape`."""
+
+    ARRAY = "sweep"
+    GANG = "ensemble"
+    SERVICE = "service"
+
 
-PENDING, RUNNING, DONE, WITHDRAWN = "pending", "running", "done", "withdrawn"
-OPEN = "open"
-FINAL = (DONE, WITHDRAWN)
+class JobState(StrEnum):
+    """Where a job stands. Values as in the protocol's field `stage`; `OPEN` in records alone."""
 
-RANKS = {"best_effort": 0, "standard": 1, "high": 2, "production": 3}
+    PENDING = "pending"
+    RUNNING = "running"
+    DONE = "done"
+    CANCELLED = "withdrawn"
+    OPEN = "open"
 
 
-class Submission(msgspec.Struct, frozen=True, omit_defaults=True):
+class Priority(StrEnum):
+    """A job's priority class. Values as in the protocol's field `rank`."""
+
+    BEST_EFFORT = "best_effort"
+    STANDARD = "standard"
+    HIGH = "high"
+    PRODUCTION = "production"
+
+
+JOB_ID = re.compile(r"job-[0-9]{1,40}")
+JobId = Annotated[str, Meta(pattern=r"^job-[0-9]{1,40}\Z")]
+
+FINAL_STATES: Final = (JobState.DONE, JobState.CANCELLED)
+
+# From the least urgent up.
+PRIORITY_LEVELS: Final = {priority: level for level, priority in enumerate(Priority)}
+
+
+class Submission(
+    msgspec.Struct,
+    frozen=True,
+    omit_defaults=True,
+    rename={
+        "job_id": "uid",
+        "job_class": "jobclass",
+        "team": "crew",
+        "kind": "shape",
+        "priority": "rank",
+        "task_count": "pieces",
+        "gpus": "cards",
+        "memory_gb": "mem_gb",
+        "image": "kit",
+        "image_gb": "size_gb",
+        "spread": "apart",
+        "allow_spot": "loaners",
+        "estimated_run_s": "expect_s",
+        "checkpoint_interval_s": "bookmark_s",
+        "checkpoint_save_s": "stow_s",
+        "machine_types": "builds",
+        "zone": "hall",
+        "deadline_s": "due_s",
+        "depends_on": "awaits",
+    },
+):
     """`POST /work`. Fields that may be null may be left out."""
 
-    uid: Text
-    jobclass: Text
-    crew: Text
-    shape: Literal["sweep", "ensemble", "service"]
-    rank: Literal["production", "high", "standard", "best_effort"]
-    pieces: Annotated[int, Meta(ge=1, le=100_000)]
+    job_id: Text
+    job_class: Text
+    team: Text
+    kind: JobKind
+    priority: Priority
+    task_count: Annotated[int, Meta(ge=1, le=100_000)]
     cpus: Amount
-    cards: Amount
-    mem_gb: Amount
-    kit: Text
-    size_gb: Amount
+    gpus: Amount
+    memory_gb: Amount
+    image: Text
+    image_gb: Amount
     one_zone: bool
-    apart: bool
-    loaners: bool
-    expect_s: Amount
-    bookmark_s: Amount
-    stow_s: Amount
-    builds: Annotated[list[Text], Meta(max_length=64)] | None = None
-    hall: Text | None = None
-    due_s: Amount | None = None
+    spread: bool
+    allow_spot: bool
+    estimated_run_s: Amount
+    checkpoint_interval_s: Amount
+    checkpoint_save_s: Amount
+    machine_types: Annotated[list[Text], Meta(max_length=64)] | None = None
+    zone: Text | None = None
+    deadline_s: Amount | None = None
     # Jobs that have to be done before any task of this one starts.
-    awaits: list[JobId] | None = None
-
-
-class JobRecord(msgspec.Struct, omit_defaults=True):
+    depends_on: list[JobId] | None = None
+
+
+class JobRecord(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "submitted_at_ms": "at_ms",
+        "task_count": "pieces",
+        "state": "stage",
+        "finished_at_ms": "end_ms",
+    },
+):
     """`live/job/<id>`: written at acceptance, once more when the job ends, never dropped.
 
     The specification goes when the job is over: nothing needs it any more.
     """
 
     block: str
-    at_ms: int
-    pieces: int
-    stage: str = OPEN
+    submitted_at_ms: int
+    task_count: int
+    state: JobState = JobState.OPEN
     spec: Submission | None = None
     # When it ended: what awaits it counts its times from then. 0: the record's writer did not say.
-    end_ms: int = 0
+    finished_at_ms: int = 0
 
 
 class Progress(msgspec.Struct):
@@ -71,11 +131,11 @@
     bits: str
 
 
-class Stage(msgspec.Struct, omit_defaults=True):
+class JobStatus(msgspec.Struct, omit_defaults=True, rename={"job_id": "uid", "state": "stage"}):
     """The answer about a job."""
 
-    uid: str
-    stage: str
+    job_id: str
+    state: JobState
     done: int | None = None
     running: int | None = None
 
@@ -86,34 +146,42 @@
         found = msgspec.json.decode(body, type=Submission)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         return str(error) or "malformed"
-    if not JOB_ID.fullmatch(found.uid):
+    if not JOB_ID.fullmatch(found.job_id):
         return "Not a job id - at `$.uid`"
-    if found.builds is not None and not found.builds:
+    if found.machine_types is not None and not found.machine_types:
         return "No machine type allowed - at `$.builds`"
-    if found.expect_s <= 0 and found.shape != SERVICE:
+    if found.estimated_run_s <= 0 and found.kind != JobKind.SERVICE:
         return "Expected `float` > 0 - at `$.expect_s`"
     return found
 
 
-class _Named(msgspec.Struct):
-    uid: Text
+class _NamedJob(msgspec.Struct, rename={"job_id": "uid"}):
+    job_id: Text
 
 
-def named_job(body: bytes) -> str | None:
+def job_id_of(body: bytes) -> str | None:
     """The job that a malformed submission names: it may be a repeat of one that was accepted."""
     try:
-        uid = msgspec.json.decode(body, type=_Named).uid
+        uid = msgspec.json.decode(body, type=_NamedJob).job_id
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
     return uid if JOB_ID.fullmatch(uid) else None
 
 
-def piece_name(job: str, index: int) -> str:
-    return f"{job}/{index}"
+def task_id(job_id: str, index: int) -> str:
+    return f"{job_id}/{index}"
+
+
+class TaskId(NamedTuple):
+    """A task's job and its number in it."""
+
+    job_id: str
+    task_index: int
 
 
-def split_piece(piece: str) -> tuple[str, int] | None:
-    job, slash, index = piece.rpartition("/")
-    if not slash or not index.isdigit() or not JOB_ID.fullmatch(job):
+def parse_task_id(text: str) -> TaskId | None:
+    """Job and number of a task by its name; None for anything else."""
+    job_id, slash, index = text.rpartition("/")
+    if not slash or not index.isdigit() or not JOB_ID.fullmatch(job_id):
         return None
-    return job, int(index)
+    return TaskId(job_id, int(index))
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -9,178 +9,198 @@
 
 from fallpulley.blocks.held import HeldBlock
 from fallpulley.core import Core
-from fallpulley.jobs.messages import DONE, JOB_ID, WITHDRAWN, JobRecord, Progress
-from fallpulley.jobs.open import OpenJob, chunk_name, chunk_tasks, is_chunk
-from fallpulley.jobs.service import JOBS, Known
-from fallpulley.state.client import Change, Priority, Write
+from fallpulley.jobs.messages import JOB_ID, JobRecord, JobState, Progress
+from fallpulley.jobs.open import OpenJob, chunk_name, chunk_tasks, is_chunk_name
+from fallpulley.jobs.service import JOB_PREFIX, JobEntry
+from fallpulley.state.client import Change, RequestPriority, Write
 
 log = logging.getLogger(__name__)
 
-PROGRESS = "prog/"
-PAGE = 400
+PROGRESS_PREFIX = "prog/"
+PAGE_SIZE = 400
 # Completed tasks wait this many report intervals before their progress is written: most jobs
 # end sooner, and their last record alone says it all.
 PROGRESS_REPORTS = 4.0
 
 
-class _Pair(msgspec.Struct):
-    k: str
-    v: Progress
-    stamp: int
+class _Item(msgspec.Struct, rename={"key": "k", "value": "v", "mod_revision": "stamp"}):
+    key: str
+    value: Progress
+    mod_revision: int
 
 
-class _Page(msgspec.Struct):
-    pairs: list[_Pair]
+class _Page(msgspec.Struct, rename={"items": "pairs"}):
+    items: list[_Item]
     has_next: bool = False
 
 
 class JobPersistence:
     def __init__(self, core: Core) -> None:
         self.core = core
-        self.older_chunk = chunk_tasks(core.settings.facts.state.value_kb)
-        self.newer_chunk = chunk_tasks(core.lesser.value_kb)
-        self._loading: set[int] = set()
-        self._withdrawing: set[str] = set()  # records under way
+        self.first_format_chunk_tasks = chunk_tasks(core.settings.facts.state.value_kb)
+        self.chunk_tasks = chunk_tasks(core.lesser.value_kb)
+        self._loading_shards: set[int] = set()
+        self._cancellations_pending: set[str] = set()  # records under way
 
-    def tick(self, held: HeldBlock, derived: dict[str, Known]) -> None:
+    def tick(self, held: HeldBlock, cancelled_with_dependencies: dict[str, JobEntry]) -> None:
         """`derived`: jobs of the block that are withdrawn with others; their records follow."""
-        for uid, known in derived.items():
-            if self.core.state.waiting_changes(Priority.PROGRESS) >= 4:
+        for job_id, entry in cancelled_with_dependencies.items():
+            if self.core.state.waiting_changes(RequestPriority.PROGRESS) >= 4:
                 break
-            self._record_withdrawn(uid, known)
+            self._write_dependent_cancellation(job_id, entry)
         if not held.loaded:
-            self._load(held)
+            self._load_progress(held)
             return
         now = self.core.now
         age = PROGRESS_REPORTS * self.core.report_s
         for job in held.jobs.values():
-            if job.withdrawn:
+            if job.cancelled:
                 continue
             if job.finished:
-                if not job.ending and now >= job.retry_at:
-                    self._finish(held, job)
+                if not job.final_write_pending and now >= job.retry_at:
+                    self._write_completion(held, job)
             elif (
                 job.unsaved_since is not None
-                and not job.saving
+                and not job.progress_write_pending
                 and now > job.unsaved_since + age
-                and self.core.state.waiting_changes(Priority.PROGRESS) < 4
+                and self.core.state.waiting_changes(RequestPriority.PROGRESS) < 4
             ):
-                self._save(job)
+                self._write_progress(job)
 
-    def _record_withdrawn(self, job: str, known: Known) -> None:
-        if job in self._withdrawing:
+    def _write_dependent_cancellation(self, job: str, entry: JobEntry) -> None:
+        if job in self._cancellations_pending:
             return
-        self._withdrawing.add(job)
-        key = JOBS + job
-        value = msgspec.json.encode(JobRecord(known.block, known.at_ms, known.pieces, WITHDRAWN))
+        self._cancellations_pending.add(job)
+        key = JOB_PREFIX + job
+        value = msgspec.json.encode(
+            JobRecord(entry.block, entry.submitted_at_ms, entry.task_count, JobState.CANCELLED)
+        )
 
-        def written(status: int | None, ledger: int) -> None:
-            self._withdrawing.discard(job)
+        def on_written(status: int | None, ledger: int) -> None:
+            self._cancellations_pending.discard(job)
 
         self.core.state.write(
             Write(
-                {key: known.stamp},
+                {key: entry.mod_revision},
                 [Change(key, value)],
-                written,
-                Priority.PROGRESS,
+                on_written,
+                RequestPriority.PROGRESS,
                 expires_at=self.core.now + 5.0,
             )
         )
 
-    def _finish(self, held: HeldBlock, job: OpenJob) -> None:
+    def _write_completion(self, held: HeldBlock, job: OpenJob) -> None:
         """Every task is done: the record says so before anybody else does."""
-        job.ending = True
-        key = JOBS + job.job
+        job.final_write_pending = True
+        key = JOB_PREFIX + job.job_id
         record = job.record
-        end_ms = round(self.core.wall * 1000)
+        finished_at_ms = round(self.core.wall * 1000)
         value = msgspec.json.encode(
-            JobRecord(record.block, record.at_ms, record.pieces, DONE, end_ms=end_ms)
+            JobRecord(
+                record.block,
+                record.submitted_at_ms,
+                record.task_count,
+                JobState.DONE,
+                finished_at_ms=finished_at_ms,
+            )
         )
         changes = [Change(key, value)]
-        conditions = {key: job.stamp}
+        conditions = {key: job.mod_revision}
         # As many progress values as the transaction holds; what is left of them harms nothing.
-        for name, stamp in list(job.ledger.items())[: self.core.txn_ops - 1]:
-            conditions[f"{PROGRESS}{job.job}/{name}"] = stamp
-            changes.append(Change(f"{PROGRESS}{job.job}/{name}", None))
+        for name, stamp in list(job.progress_revisions.items())[: self.core.txn_ops - 1]:
+            conditions[f"{PROGRESS_PREFIX}{job.job_id}/{name}"] = stamp
+            changes.append(Change(f"{PROGRESS_PREFIX}{job.job_id}/{name}", None))
 
-        def written(status: int | None, ledger: int) -> None:
-            log.info("job done job=%s status=%s term=%d", job.job, status, held.token)
-            if status == 409 and job.ledger:
+        def on_written(status: int | None, ledger: int) -> None:
+            log.info("job done job=%s status=%s term=%d", job.job_id, status, held.token)
+            if status == 409 and job.progress_revisions:
                 # A late progress write got in between: leave the values, the end counts.
-                job.ledger.clear()
+                job.progress_revisions.clear()
             if status != 200:
                 # The watch shows the record if the write got through after all.
                 job.retry_at = self.core.now + 0.3
-                job.ending = False
+                job.final_write_pending = False
 
         self.core.state.write(
-            Write(conditions, changes, written, Priority.ACCEPT, expires_at=self.core.now + 2.0)
+            Write(
+                conditions,
+                changes,
+                on_written,
+                RequestPriority.ACCEPT,
+                expires_at=self.core.now + 2.0,
+            )
         )
 
-    def _save(self, job: OpenJob) -> None:
+    def _write_progress(self, job: OpenJob) -> None:
         newer = self.core.newer_format
-        tasks = self.newer_chunk if newer else self.older_chunk
+        tasks = self.chunk_tasks if newer else self.first_format_chunk_tasks
         job.unsaved_since = None
-        for number in job.dirty_chunks(tasks)[:4]:
-            self._save_chunk(job, number, tasks, chunk_name(number, tasks, newer))
+        for number in job.unsaved_chunks(tasks)[:4]:
+            self._write_chunk(job, number, tasks, chunk_name(number, tasks, newer))
 
-    def _save_chunk(self, job: OpenJob, number: int, tasks: int, name: str) -> None:
-        job.saving = True
-        key = f"{PROGRESS}{job.job}/{name}"
-        content = job.chunk(number, tasks)
+    def _write_chunk(self, job: OpenJob, number: int, tasks: int, name: str) -> None:
+        job.progress_write_pending = True
+        key = f"{PROGRESS_PREFIX}{job.job_id}/{name}"
+        content = job.chunk_bytes(number, tasks)
         value = msgspec.json.encode(Progress(base64.b64encode(content).decode()))
 
-        def written(status: int | None, ledger: int) -> None:
-            job.saving = False
+        def on_written(status: int | None, ledger: int) -> None:
+            job.progress_write_pending = False
             if status == 200:
-                job.ledger[name] = ledger
-                job.saved(number, tasks, content)
+                job.progress_revisions[name] = ledger
+                job.mark_chunk_durable(number, tasks, content)
                 return
             if job.unsaved_since is None:
                 job.unsaved_since = self.core.now
             if status in (409, None):
-                self._reread(job, name)
+                self._reload_chunk(job, name)
 
         self.core.state.write(
             Write(
-                {key: job.ledger.get(name, 0)},
+                {key: job.progress_revisions.get(name, 0)},
                 [Change(key, value)],
-                written,
-                Priority.PROGRESS,
+                on_written,
+                RequestPriority.PROGRESS,
                 expires_at=self.core.now + 5.0,
             )
         )
 
-    def _reread(self, job: OpenJob, name: str) -> None:
+    def _reload_chunk(self, job: OpenJob, name: str) -> None:
         """Somebody's write, perhaps our own late one, changed the value: merge it."""
-        job.saving = True
-        path = f"/store/{PROGRESS}{job.job}/{name}"
+        job.progress_write_pending = True
+        path = f"/store/{PROGRESS_PREFIX}{job.job_id}/{name}"
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
-            job.saving = False
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+            job.progress_write_pending = False
             if status == 404:
-                job.ledger.pop(name, None)
+                job.progress_revisions.pop(name, None)
             elif status == 200:
                 try:
-                    pair = msgspec.json.decode(body, type=_Pair)
+                    item = msgspec.json.decode(body, type=_Item)
                 except msgspec.MsgspecError:
                     return
-                job.restore(name, self.older_chunk, pair.v.bits, pair.stamp)
+                job.merge_chunk(
+                    name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision
+                )
 
-        self.core.state.read(path, done, Priority.PROGRESS, expires_at=self.core.now + 5.0)
+        self.core.state.read(
+            path, on_response, RequestPriority.PROGRESS, expires_at=self.core.now + 5.0
+        )
 
     # -- after a takeover ------------------------------------------------------------------
 
-    def _load(self, held: HeldBlock) -> None:
-        if id(held) in self._loading:
+    def _load_progress(self, held: HeldBlock) -> None:
+        if id(held) in self._loading_shards:
             return
-        self._loading.add(id(held))
-        self._page(held, "")
+        self._loading_shards.add(id(held))
+        self._load_page(held, "")
 
-    def _page(self, held: HeldBlock, after: str) -> None:
-        path = f"/store?under={PROGRESS}&page={PAGE}" + (f"&after={after}" if after else "")
+    def _load_page(self, held: HeldBlock, after: str) -> None:
+        path = f"/store?under={PROGRESS_PREFIX}&page={PAGE_SIZE}" + (
+            f"&after={after}" if after else ""
+        )
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
             page: _Page | None = None
             if status == 200:
                 try:
@@ -188,22 +208,22 @@
                 except msgspec.MsgspecError:
                     log.error("state broken progress page")
             if page is None:
-                self._loading.discard(id(held))
+                self._loading_shards.discard(id(held))
                 return
-            for pair in page.pairs:
-                self._restore(held, pair)
-            if page.has_next and page.pairs:
-                self._page(held, page.pairs[-1].k)
+            for item in page.items:
+                self._merge_progress(held, item)
+            if page.has_next and page.items:
+                self._load_page(held, page.items[-1].key)
                 return
-            self._loading.discard(id(held))
+            self._loading_shards.discard(id(held))
             held.loaded = True
             held.dirty = True
             log.info("progress loaded block=%s jobs=%d", held.label, len(held.jobs))
 
-        self.core.state.read(path, done, Priority.PROGRESS, timeout_s=5.0)
+        self.core.state.read(path, on_response, RequestPriority.PROGRESS, timeout_s=5.0)
 
-    def _restore(self, held: HeldBlock, pair: _Pair) -> None:
-        uid, _, name = pair.k[len(PROGRESS) :].rpartition("/")
-        job = held.jobs.get(uid)
-        if job is not None and JOB_ID.fullmatch(uid) and is_chunk(name):
-            job.restore(name, self.older_chunk, pair.v.bits, pair.stamp)
+    def _merge_progress(self, held: HeldBlock, item: _Item) -> None:
+        job_id, _, name = item.key[len(PROGRESS_PREFIX) :].rpartition("/")
+        job = held.jobs.get(job_id)
+        if job is not None and JOB_ID.fullmatch(job_id) and is_chunk_name(name):
+            job.merge_chunk(name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision)
--- a/fallpulley/jobs/pipelines.py
+++ b/fallpulley/jobs/pipelines.py
@@ -19,158 +19,176 @@
 
 # A path is carried back once it has grown by this share: at every new end of a chain of thousands
 # all of it was walked, and the order of the queue does not need it closer.
-PATH_STEP = 1 / 16
+MIN_PATH_GROWTH = 1 / 16
 
 
-class Node(msgspec.Struct, eq=False):
+class DependencyNode(msgspec.Struct, eq=False):
     """An unfinished job that awaits others, or that others await."""
 
-    since_ms: int  # when the last that it awaited was done; its own submission if it awaited none
-    own_rank: int = 0
-    length_s: float = 0.0  # estimated fetch and run time of a task
-    own_due_at: float = math.inf  # its own deadline, time of day
-    missing: set[str] = msgspec.field(default_factory=set)  # awaited and not known to be done
-    rank: int = 0  # the highest of its own and of all that need it
-    path_s: float = 0.0  # the longest path of lengths after it
-    due_at: float = math.inf  # when it has to be done for all that need it to meet theirs
-
-
-class Outlook(msgspec.Struct):
+    ready_since_ms: (
+        int  # when the last that it awaited was done; its own submission if it awaited none
+    )
+    own_priority_level: int = 0
+    task_s: float = 0.0  # estimated fetch and run time of a task
+    own_deadline_at: float = math.inf  # its own deadline, time of day
+    unfinished_dependencies: set[str] = msgspec.field(
+        default_factory=set
+    )  # awaited and not known to be done
+    priority_level: int = 0  # the highest of its own and of all that need it
+    critical_path_s: float = 0.0  # the longest path of lengths after it
+    deadline_at: float = math.inf  # when it has to be done for all that need it to meet theirs
+
+
+class Urgency(msgspec.Struct):
     """What the jobs that need a job ask of it."""
 
-    rank: int
-    path_s: float
-    due_at: float
+    priority_level: int
+    critical_path_s: float
+    deadline_at: float
 
 
-class Changes(msgspec.Struct):
+class PipelineChanges(msgspec.Struct):
     """What a record has changed for other jobs."""
 
     ready: list[str] = []
-    withdrawn: list[str] = []
-    lifted: list[str] = []  # rank, path or deadline are other than before
+    cancelled: list[str] = []
+    more_urgent: list[str] = []  # rank, path or deadline are other than before
 
 
 # How a job stands: None while its record has not been seen; whether it is done, and when; or
 # withdrawn.
-IsDone = Callable[[str], int | None]
-IsWithdrawn = Callable[[str], bool]
+FinishedAt = Callable[[str], int | None]
+IsCancelled = Callable[[str], bool]
 
 
 class Pipelines:
-    def __init__(self, ended_ms: IsDone, is_withdrawn: IsWithdrawn) -> None:
-        self.nodes: dict[str, Node] = {}
-        self.needed_by: dict[str, set[str]] = {}
-        self._ended_ms = ended_ms
-        self._is_withdrawn = is_withdrawn
+    def __init__(self, finished_at_ms_of: FinishedAt, is_cancelled: IsCancelled) -> None:
+        self.nodes: dict[str, DependencyNode] = {}
+        self.dependents: dict[str, set[str]] = {}
+        self._finished_at_ms = finished_at_ms_of
+        self._is_cancelled = is_cancelled
 
-    def node(self, job: str) -> Node | None:
-        return self.nodes.get(job)
+    def node(self, job_id: str) -> DependencyNode | None:
+        return self.nodes.get(job_id)
 
-    def opened(self, job: str, awaits: list[str], node: Node) -> Changes:
+    def add_job(self, job_id: str, depends_on: list[str], node: DependencyNode) -> PipelineChanges:
         """An unfinished job's record has come, in whatever order. `node` as it stands alone."""
-        changes = Changes([], [], [])
-        if not awaits and job not in self.needed_by:
+        changes = PipelineChanges([], [], [])
+        if not depends_on and job_id not in self.dependents:
             return changes  # nothing awaits it yet; its node is made when something does
-        self.nodes[job] = node
-        for name in awaits:
-            ended = self._ended_ms(name)
-            if ended is not None:
-                node.since_ms = max(node.since_ms, ended)
+        self.nodes[job_id] = node
+        for name in depends_on:
+            finished_at_ms = self._finished_at_ms(name)
+            if finished_at_ms is not None:
+                node.ready_since_ms = max(node.ready_since_ms, finished_at_ms)
                 continue
-            node.missing.add(name)
-            self.needed_by.setdefault(name, set()).add(job)
-        if any(self._is_withdrawn(name) for name in node.missing):
-            changes.withdrawn.append(job)
-            self._spread(changes)
+            node.unfinished_dependencies.add(name)
+            self.dependents.setdefault(name, set()).add(job_id)
+        if any(self._is_cancelled(name) for name in node.unfinished_dependencies):
+            changes.cancelled.append(job_id)
+            self._cancel_dependents(changes)
         else:
-            self._lift([job, *node.missing], changes)
+            self._raise_urgency([job_id, *node.unfinished_dependencies], changes)
         return changes
 
-    def awaited(self, job: str, node: Node) -> None:
+    def add_dependency(self, job_id: str, node: DependencyNode) -> None:
         """A job that awaits none is to have a node: something awaits it."""
-        self.nodes.setdefault(job, node)
+        self.nodes.setdefault(job_id, node)
 
-    def done(self, job: str, at_ms: int) -> Changes:
+    def complete_job(self, job_id: str, finished_at_ms: int) -> PipelineChanges:
         """A job's durable record says done."""
-        changes = Changes([], [], [])
-        for name in sorted(self.needed_by.pop(job, ())):
+        changes = PipelineChanges([], [], [])
+        for name in sorted(self.dependents.pop(job_id, ())):
             node = self.nodes.get(name)
-            if node is None or job not in node.missing:
+            if node is None or job_id not in node.unfinished_dependencies:
                 continue
-            node.missing.discard(job)
-            node.since_ms = max(node.since_ms, at_ms)
-            if not node.missing:
+            node.unfinished_dependencies.discard(job_id)
+            node.ready_since_ms = max(node.ready_since_ms, finished_at_ms)
+            if not node.unfinished_dependencies:
                 changes.ready.append(name)
-        self.nodes.pop(job, None)
+        self.nodes.pop(job_id, None)
         return changes
 
-    def withdrawn(self, job: str) -> Changes:
+    def cancel_job(self, job_id: str) -> PipelineChanges:
         """A job's durable record says withdrawn."""
-        changes = Changes([], [job], [])
-        self._spread(changes)
-        changes.withdrawn.remove(job)
+        changes = PipelineChanges([], [job_id], [])
+        self._cancel_dependents(changes)
+        changes.cancelled.remove(job_id)
         return changes
 
-    def _spread(self, changes: Changes) -> None:
+    def _cancel_dependents(self, changes: PipelineChanges) -> None:
         """All that need a withdrawn job, at whatever depth, are withdrawn: no recursion. What they
         awaited besides is needed by one job fewer."""
         at = 0
-        seen = set(changes.withdrawn)
+        seen = set(changes.cancelled)
         relieved: set[str] = set()
-        while at < len(changes.withdrawn):
-            job = changes.withdrawn[at]
+        while at < len(changes.cancelled):
+            job_id = changes.cancelled[at]
             at += 1
-            node = self.nodes.pop(job, None)
+            node = self.nodes.pop(job_id, None)
             if node is not None:
-                for name in node.missing:
-                    self.needed_by.get(name, set()).discard(job)
-                relieved |= node.missing
-            for name in sorted(self.needed_by.pop(job, ())):
+                for name in node.unfinished_dependencies:
+                    self.dependents.get(name, set()).discard(job_id)
+                relieved |= node.unfinished_dependencies
+            for name in sorted(self.dependents.pop(job_id, ())):
                 if name not in seen and name in self.nodes:
                     seen.add(name)
-                    changes.withdrawn.append(name)
-        self._lower(relieved - seen, changes)
+                    changes.cancelled.append(name)
+        self._recompute_urgency(relieved - seen, changes)
 
-    def _outlook(self, job: str, node: Node) -> Outlook:
+    def _outlook(self, job_id: str, node: DependencyNode) -> Urgency:
         """Rank, path and deadline of a job by its own and those of the jobs that need it."""
-        found = Outlook(node.own_rank, 0.0, node.own_due_at)
-        for name in self.needed_by.get(job, ()):
+        found = Urgency(node.own_priority_level, 0.0, node.own_deadline_at)
+        for name in self.dependents.get(job_id, ()):
             after = self.nodes.get(name)
             if after is not None:
-                found.rank = max(found.rank, after.rank)
-                found.path_s = max(found.path_s, after.length_s + after.path_s)
-                found.due_at = min(found.due_at, after.due_at - after.length_s)
+                found.priority_level = max(found.priority_level, after.priority_level)
+                found.critical_path_s = max(
+                    found.critical_path_s, after.task_s + after.critical_path_s
+                )
+                found.deadline_at = min(found.deadline_at, after.deadline_at - after.task_s)
         return found
 
-    def _lift(self, jobs: list[str], changes: Changes) -> None:
+    def _raise_urgency(self, job_ids: list[str], changes: PipelineChanges) -> None:
         """Carry rank, path and deadline from jobs back to those that they await, where they press
         more than before."""
-        stack = jobs
+        stack = job_ids
         while stack:
-            job = stack.pop()
-            node = self.nodes.get(job)
+            job_id = stack.pop()
+            node = self.nodes.get(job_id)
             if node is None:
                 continue
-            found = self._outlook(job, node)
-            sooner = found.due_at < node.due_at - PATH_STEP * node.path_s
-            if found.rank > node.rank or found.path_s > node.path_s * (1 + PATH_STEP) or sooner:
-                node.rank = max(found.rank, node.rank)
-                node.path_s = max(found.path_s, node.path_s)
-                node.due_at = min(found.due_at, node.due_at)
-                changes.lifted.append(job)
-                stack.extend(node.missing)
-
-    def _lower(self, jobs: Iterable[str], changes: Changes) -> None:
+            found = self._outlook(job_id, node)
+            sooner = found.deadline_at < node.deadline_at - MIN_PATH_GROWTH * node.critical_path_s
+            if (
+                found.priority_level > node.priority_level
+                or found.critical_path_s > node.critical_path_s * (1 + MIN_PATH_GROWTH)
+                or sooner
+            ):
+                node.priority_level = max(found.priority_level, node.priority_level)
+                node.critical_path_s = max(found.critical_path_s, node.critical_path_s)
+                node.deadline_at = min(found.deadline_at, node.deadline_at)
+                changes.more_urgent.append(job_id)
+                stack.extend(node.unfinished_dependencies)
+
+    def _recompute_urgency(self, job_ids: Iterable[str], changes: PipelineChanges) -> None:
         """Jobs are needed by fewer than before: what pressed them may press them no more."""
-        stack = sorted(jobs)
+        stack = sorted(job_ids)
         while stack:
-            job = stack.pop()
-            node = self.nodes.get(job)
+            job_id = stack.pop()
+            node = self.nodes.get(job_id)
             if node is None:
                 continue
-            found = self._outlook(job, node)
-            if (found.rank, found.path_s, found.due_at) != (node.rank, node.path_s, node.due_at):
-                node.rank, node.path_s, node.due_at = found.rank, found.path_s, found.due_at
-                changes.lifted.append(job)
-                stack.extend(node.missing)
+            found = self._outlook(job_id, node)
+            if (found.priority_level, found.critical_path_s, found.deadline_at) != (
+                node.priority_level,
+                node.critical_path_s,
+                node.deadline_at,
+            ):
+                node.priority_level, node.critical_path_s, node.deadline_at = (
+                    found.priority_level,
+                    found.critical_path_s,
+                    found.deadline_at,
+                )
+                changes.more_urgent.append(job_id)
+                stack.extend(node.unfinished_dependencies)
--- a/fallpulley/placement/estimate.py
+++ b/fallpulley/placement/estimate.py
@@ -22,8 +22,8 @@
     def __init__(self) -> None:
         self._factors: dict[str, float] = {}
 
-    def factor(self, jobclass: str) -> float:
-        return self._factors.get(jobclass, 1.0)
+    def factor(self, job_class: str) -> float:
+        return self._factors.get(job_class, 1.0)
 
     def factors(self) -> dict[str, float]:
         """All that was learned, by class."""
@@ -31,13 +31,13 @@
 
     def restore(self, factors: dict[str, float]) -> None:
         """Take over what somebody else has learned, within the bounds of one's own learning."""
-        for jobclass, factor in factors.items():
-            self._factors[jobclass] = max(LEAST, min(MOST, factor))
+        for job_class, factor in factors.items():
+            self._factors[job_class] = max(LEAST, min(MOST, factor))
 
-    def learn(self, jobclass: str, expected_s: float, took_s: float) -> None:
+    def learn(self, job_class: str, expected_s: float, took_s: float) -> None:
         ratio = max(LEAST, min(MOST, took_s / expected_s))
-        factor = self.factor(jobclass)
-        self._factors[jobclass] = factor + CLASS_WEIGHT * (ratio - factor)
+        factor = self.factor(job_class)
+        self._factors[job_class] = factor + CLASS_WEIGHT * (ratio - factor)
 
 
 def run_estimate(corrected_s: float, observed: int, observed_s: float) -> float:
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -10,7 +10,7 @@
 from fallpulley.blocks.registry import Registry
 from fallpulley.core import Core
 from fallpulley.fleet.messages import MachineType
-from fallpulley.jobs.messages import ENSEMBLE
+from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open import OpenJob
 from fallpulley.placement.estimate import left_of
 from fallpulley.placement.plan import (
@@ -97,10 +97,10 @@
         if run.running_at is not None:
             left = left_of(estimate, now - run.running_at)
         else:
-            ready = images.get(job.spec.kit, now) if job else now
+            ready = images.get(job.spec.image, now) if job else now
             left = estimate + max(0.0, ready - now)
         if run.stopping is not None and job is not None:
-            left = min(left, job.spec.stow_s + 1.0)
+            left = min(left, job.spec.checkpoint_save_s + 1.0)
         running.append((now + left, *run.need))
         until = min(until, now + left)
     return Slot(
@@ -127,11 +127,11 @@
     kinds = kinds_of(slots)
     unclear: bool | None = None  # looked at only where a team has a limit
     for job in held.jobs.values():
-        if job.withdrawn or job.finished or now < job.retry_at or held.doubtful(job):
+        if job.cancelled or job.finished or now < job.retry_at or held.doubtful(job):
             continue
-        if job.awaiting:
+        if job.waits_for_dependencies:
             continue
-        team = teams.get(job.spec.crew)
+        team = teams.get(job.spec.team)
         if team is not None and team.limited:
             if unclear is None:
                 # Tasks that we cannot see, or cannot ascribe to a team, may use up the limit.
@@ -139,7 +139,7 @@
             if unclear:
                 continue
         tasks = job.waiting_count()
-        if not tasks or job.broken:
+        if not tasks or job.gang_restarting:
             continue
         entry = _waiting(held, core, job, tasks, kinds, wall_ms)
         first = first_tasks(job, core) - len(job.runs)
@@ -148,7 +148,7 @@
             first = min(first, tasks) if not entry.together else tasks
             found.append(msgspec.structs.replace(entry, tasks=first, starved=True))
             entry.tasks -= first
-            if job.spec.one_zone or job.spec.apart:
+            if job.spec.one_zone or job.spec.spread:
                 continue  # booked in two parts, each would keep its bond without the other
         found.append(entry)
     _mark_late(found, held, core, LATE_ROOM * sum(slot.size[0] for slot in slots))
@@ -159,10 +159,10 @@
 
 def first_tasks(job: OpenJob, core: Core) -> int:
     """How many tasks of a job go before all others: none, unless none of it has run for long."""
-    waited = core.wall - job.since_ms / 1000
-    if job.done or waited < core.settings.operators.begin_bound_s:
+    waited = core.wall - job.ready_since_ms / 1000
+    if job.completed_count or waited < core.settings.operators.begin_bound_s:
         return 0
-    return math.ceil(FIRST_SHARE * job.spec.pieces)
+    return math.ceil(FIRST_SHARE * job.spec.task_count)
 
 
 def _waiting(
@@ -175,44 +175,44 @@
 ) -> Waiting:
     spec = job.spec
     estimate = held.estimate(job)
-    left = spec.pieces - job.done
+    left = spec.task_count - job.completed_count
     key = (left, kinds, round(estimate, 1))
-    if key != job.remaining_key:
-        job.remaining_key = key
-        job.remaining_s = remaining_time(job.need, estimate, left, kinds)
-    job.press(core.wall)
-    waited = (wall_ms - job.since_ms) / 1000
-    avoid = job.failed_on or None
+    if key != job.remaining_inputs:
+        job.remaining_inputs = key
+        job.remaining_s = remaining_time(job.resources, estimate, left, kinds)
+    job.update_deadline_risk(core.wall)
+    waited = (wall_ms - job.ready_since_ms) / 1000
+    avoid = job.failed_machines or None
     if avoid is not None and avoid >= held.machines.keys():
         avoid = None  # it failed on all there are: closed to it, they would stand idle beside it
-    zone, zone_room = spec.hall, None
+    zone, zone_room = spec.zone, None
     if spec.one_zone and job.runs:
         run = next(iter(job.runs.values()))
         zone = held.machines[run.host].entry.zone
-    if spec.apart:
-        most = math.ceil(spec.pieces / 2)
+    if spec.spread:
+        most = math.ceil(spec.task_count / 2)
         zone_room = dict.fromkeys((m.entry.zone for m in held.machines.values()), most)
         for run in job.runs.values():
             at = held.machines[run.host].entry.zone
             zone_room[at] = zone_room.get(at, most) - 1
     return Waiting(
-        job.job,
-        job.need,
+        job.job_id,
+        job.resources,
         estimate,
         tasks,
-        spec.kit,
-        spec.size_gb,
-        job.remaining_s + job.path_s,
-        job.pressed or waited > core.settings.operators.age_bound * estimate,
-        job.since_ms / 1000,
-        spec.loaners,
-        job.rank,
-        spec.builds,
+        spec.image,
+        spec.image_gb,
+        job.remaining_s + job.critical_path_s,
+        job.deadline_at_risk or waited > core.settings.operators.age_bound * estimate,
+        job.ready_since_ms / 1000,
+        spec.allow_spot,
+        job.priority_level,
+        spec.machine_types,
         zone,
         zone_room,
         spec.one_zone,
         avoid,
-        spec.shape == ENSEMBLE and not job.runs,
+        spec.kind == JobKind.GANG and not job.runs,
     )
 
 
@@ -221,7 +221,7 @@
     left: dict[str, list[float]] = {}
     for entry in waiting:
         job = held.jobs[entry.job]
-        team = teams.get(job.spec.crew)
+        team = teams.get(job.spec.team)
         if team is None or not team.limited:
             continue
         if team.name not in left:
@@ -259,7 +259,7 @@
         starting.setdefault(booking.job, []).append(booking)
         decision.starts.setdefault(booking.host, []).append(booking)
     for job, bookings in starting.items():
-        for booking, index in zip(bookings, held.jobs[job].waiting(len(bookings)), strict=True):
+        for booking, index in zip(bookings, held.jobs[job].next_tasks(len(bookings)), strict=True):
             booking.index = index
     patience = _patience(core)
     if patience:
@@ -286,7 +286,7 @@
     bounds = _late_after(core)
     late = []
     for entry in waiting:
-        after = bounds.get(held.jobs[entry.job].spec.jobclass)
+        after = bounds.get(held.jobs[entry.job].spec.job_class)
         waited = core.wall - entry.submitted
         if after is not None and waited > after and entry.rank < URGENT_RANK:
             late.append(entry)
@@ -318,15 +318,15 @@
     """Stops for urgent tasks that would wait beyond what their class's aim allows."""
     late: list[tuple[Waiting, int]] = []
     for entry in waiting:
-        jobclass = held.jobs[entry.job].spec.jobclass
-        if entry.rank < URGENT_RANK or jobclass not in patience:
+        job_class = held.jobs[entry.job].spec.job_class
+        if entry.rank < URGENT_RANK or job_class not in patience:
             continue
         waited = core.wall - entry.submitted
         # A stop takes effect with its machine's next report. Room that comes by then cannot be
         # had sooner: without this, a task that was late already had others stopped for it in
         # plan after plan while the first stops were still under way.
         soonest = STOP_REPORTS * core.report_s + STOP_S
-        until = core.now + max(soonest, patience[jobclass] - waited)
+        until = core.now + max(soonest, patience[job_class] - waited)
         count = sum(1 for start in plan.later.get(entry.job, ()) if start > until)
         if count:
             late.append((entry, count))
@@ -338,7 +338,7 @@
         if free is not None:
             room[slot.host] = (free.cpus[0], free.cards[0], free.mem[0])
     for booking in plan.starts:
-        need, (cpus, cards, mem) = held.jobs[booking.job].need, room[booking.host]
+        need, (cpus, cards, mem) = held.jobs[booking.job].resources, room[booking.host]
         room[booking.host] = (cpus - need[0], cards - need[1], mem - need[2])
     # Only where one of the late jobs may run and something can make room for it: most of a fleet
     # may be closed to an urgent class, and the rest of it full of that class's own tasks.
@@ -387,14 +387,14 @@
         job = held.jobs.get(run.job)
         if job is None or run.stopping is not None or not run.seen or run.stage == SAVING:
             continue
-        if job.rank >= below:
+        if job.priority_level >= below:
             continue
         if len(job.runs) <= first_tasks(job, core):
             continue  # it has waited for long enough
         ran = now - run.running_at if run.running_at is not None else 0.0
-        if job.spec.bookmark_s > 0:
-            ran = min(ran, 0.5 * job.spec.bookmark_s)
+        if job.spec.checkpoint_interval_s > 0:
+            ran = min(ran, 0.5 * job.spec.checkpoint_interval_s)
         loss = max(ran, 0.1) * max(run.need[0], 0.1)
-        found.append(Victim(run.piece, job.rank, run.need, loss))
+        found.append(Victim(run.piece, job.priority_level, run.need, loss))
     found.sort(key=lambda victim: victim.loss / max(victim.need[0], 0.1))
     return found
--- a/fallpulley/shares/policy.py
+++ b/fallpulley/shares/policy.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from fallpulley.jobs.messages import Priority
 from fallpulley.settings import SharesSettings
 from fallpulley.shares.messages import Share, ShareTable
 
@@ -38,7 +39,7 @@
     """What an expression sees."""
 
     load: dict[str, float]  # block -> unfinished work for each of its processors, in seconds
-    backlog: dict[str, dict[str, float]]  # block -> priority -> unfinished processor-seconds
+    backlog: dict[str, dict[Priority, float]]  # block -> priority -> unfinished processor-seconds
     hour: float  # of the day, UTC
 
 
@@ -97,9 +98,8 @@
 def check_expression(expression: str, labels: list[str]) -> None:
     """Raise `PolicyError` for an expression that fails on ordinary values."""
     evaluate = compiled(expression)
-    priorities = ("best_effort", "standard", "high", "production")
     for work in (0.0, 1000.0):
-        backlog = {label: dict.fromkeys(priorities, work) for label in labels}
+        backlog = {label: dict.fromkeys(Priority, work) for label in labels}
         weights = evaluate(PolicyInput(dict.fromkeys(labels, work), backlog, 12.0))
         unknown = sorted(weights.keys() - set(labels))
         if unknown:
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -37,7 +37,7 @@
     change,
     done_before,
 )
-from fallpulley.state.client import Change, Priority, Write
+from fallpulley.state.client import Change, RequestPriority, Write
 from fallpulley.state.view import View
 
 log = logging.getLogger(__name__)
@@ -187,7 +187,7 @@
         changes = [Change(SHARES, value)]
         conditions = {SHARES: self.view.stamp(SHARES)}
         self.core.state.write(
-            Write(conditions, changes, written, Priority.ACCEPT, expires_at=expires_at)
+            Write(conditions, changes, written, RequestPriority.ACCEPT, expires_at=expires_at)
         )
 
     def _tell_outcome(self, ticket: Any, request: SetShares, ok: bool) -> None:
@@ -250,7 +250,7 @@
                 {SHARES: self.view.stamp(SHARES)},
                 [Change(SHARES, msgspec.json.encode(after))],
                 lambda status, ledger: None,
-                Priority.PROGRESS,
+                RequestPriority.PROGRESS,
                 expires_at=self.core.now + WRITE_WAIT_S,
             )
         )
@@ -259,7 +259,7 @@
         load = {}
         backlog = {}
         for label in {*self.controllers, *self.registry.blocks}:
-            by_priority = self.jobs.load_by_priority(label)
+            by_priority = self.jobs.estimated_work_by_priority(label)
             there = label in self.registry.blocks
             processors = self.reconciler.processors(label) if there else 0.0
             backlog[label] = by_priority
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -101,8 +101,8 @@
     def run_time_learned(self, job: str, observed: int, observed_s: float) -> None:
         self._append(JobLearned(job, observed, round(observed_s, 2)))
 
-    def class_learned(self, jobclass: str, factor: float) -> None:
-        self._append(ClassLearned(jobclass, round(factor, 4)))
+    def class_learned(self, job_class: str, factor: float) -> None:
+        self._append(ClassLearned(job_class, round(factor, 4)))
 
     def machine_granted(self, host: str) -> None:
         self._append(Granted(host))
@@ -262,9 +262,9 @@
     """The state of a held block, in parts that fit a message."""
     machines = [(host, _copy(machine)) for host, machine in held.machines.items()]
     jobs = [
-        (name, JobCopy(job.observed, round(job.observed_s, 2)))
+        (name, JobCopy(job.observed_tasks, round(job.observed_run_s, 2)))
         for name, job in held.jobs.items()
-        if job.observed
+        if job.observed_tasks
     ]
     parts = [Snapshot({}, {}, dict(held.corrections.factors()))]
     for at in range(0, len(machines), PART_ITEMS):
--- a/fallpulley/standby/takeover.py
+++ b/fallpulley/standby/takeover.py
@@ -28,7 +28,7 @@
     for name, copy in state.jobs.items():
         job = held.jobs.get(name)
         if job is not None and copy.observed >= 0 and copy.observed_s >= 0.0:
-            job.observed, job.observed_s = copy.observed, copy.observed_s
+            job.observed_tasks, job.observed_run_s = copy.observed, copy.observed_s
     expected = Expected({})
     for host, machine in state.machines.items():
         ours = held.machines.get(host)
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -22,7 +22,7 @@
 SHARE_USED = 0.92
 
 
-class Priority(IntEnum):
+class RequestPriority(IntEnum):
     RENEWAL = 0
     ACCEPT = 1
     PROGRESS = 2
@@ -31,7 +31,7 @@
 
 # Share of the saved-up budget that requests of a priority leave to those before them, so that
 # a renewal or an accept never waits for a burst of lesser ones to be earned back.
-KEPT_BACK = {Priority.PROGRESS: 0.4, Priority.READ: 0.2}
+KEPT_BACK = {RequestPriority.PROGRESS: 0.4, RequestPriority.READ: 0.2}
 
 # Outcome of a write: 200, 409 (a stamp differed), 503 (not executed), 400, None (unknown).
 Written = Callable[[int | None, int], None]
@@ -57,7 +57,7 @@
     conditions: dict[str, int]
     changes: list[Change]
     written: Written
-    priority: Priority = Priority.ACCEPT
+    priority: RequestPriority = RequestPriority.ACCEPT
     alone: bool = False
     expires_at: float = float("inf")
 
@@ -127,8 +127,12 @@
         self.changes = Bucket(write_rps * SHARE_USED)
         self.emit = emit
         self.in_flight = 0
-        self._writes: dict[Priority, deque[Write]] = {priority: deque() for priority in Priority}
-        self._reads: dict[Priority, deque[_Read]] = {priority: deque() for priority in Priority}
+        self._writes: dict[RequestPriority, deque[Write]] = {
+            priority: deque() for priority in RequestPriority
+        }
+        self._reads: dict[RequestPriority, deque[_Read]] = {
+            priority: deque() for priority in RequestPriority
+        }
         self.timeout_s = 1.5
         # Values above this size are refused once the limits to come have come, and who is to know.
         self.small_bytes = float("inf")
@@ -154,14 +158,14 @@
     def write(self, write: Write) -> None:
         self._writes[write.priority].append(write)
 
-    def waiting_changes(self, priority: Priority) -> int:
+    def waiting_changes(self, priority: RequestPriority) -> int:
         return sum(len(write.changes) for write in self._writes[priority])
 
     def read(
         self,
         path: str,
         done: Done,
-        priority: Priority = Priority.READ,
+        priority: RequestPriority = RequestPriority.READ,
         method: str = "GET",
         body: bytes | None = None,
         timeout_s: float | None = None,
@@ -175,7 +179,7 @@
         """Send what the budgets allow, most urgent first."""
         self.requests.refill(now)
         self.changes.refill(now)
-        for priority in Priority:
+        for priority in RequestPriority:
             reads = self._reads[priority]
             writes = self._writes[priority]
             while reads and reads[0].expires_at < now:
--- a/fallpulley/state/view.py
+++ b/fallpulley/state/view.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from fallpulley.effects import ANSWER_TOO_LONG
-from fallpulley.state.client import Priority, StateClient
+from fallpulley.state.client import RequestPriority, StateClient
 
 log = logging.getLogger(__name__)
 
@@ -123,7 +123,7 @@
             self._loading = False
             self._next_poll = float("-inf")
 
-        self.state.read(path, done, Priority.READ, timeout_s=5.0)
+        self.state.read(path, done, RequestPriority.READ, timeout_s=5.0)
 
     # -- watching --------------------------------------------------------------------------
 
@@ -138,7 +138,7 @@
             ok = self._take(status, body, sent_at)
             self._next_poll = max(now, sent_at) + (self.spacing_s if ok else 0.4)
 
-        self.state.read(path, done, Priority.READ, timeout_s=hold + 1.5)
+        self.state.read(path, done, RequestPriority.READ, timeout_s=hold + 1.5)
 
     def _round(self, now: float) -> None:
         waiters, self._waiters = self._waiters, []
@@ -151,7 +151,9 @@
             for waiter, _ in waiters:
                 waiter(ok)
 
-        self.state.read(path, done, Priority.READ, timeout_s=ROUND_S, expires_at=now + ROUND_S)
+        self.state.read(
+            path, done, RequestPriority.READ, timeout_s=ROUND_S, expires_at=now + ROUND_S
+        )
 
     def _take(self, status: int | None, body: bytes, sent_at: float) -> bool:
         if status in (410, ANSWER_TOO_LONG):
--- a/fallpulley/workers/checkins.py
+++ b/fallpulley/workers/checkins.py
@@ -224,16 +224,16 @@
             job = held.jobs.get(booking.job)
             if (
                 job is None
-                or job.withdrawn
+                or job.cancelled
                 or booking.index in job.runs
-                or job.is_done(booking.index)
+                or job.is_completed(booking.index)
             ):
                 continue
             order = held.commands.start(machine, job, booking, held.estimate(job))
             if order is None:
                 break
             orders.append(order)
-            self._expect_image(held, machine, job.spec.kit, job.spec.size_gb)
+            self._expect_image(held, machine, job.spec.image, job.spec.image_gb)
         return orders
 
     def _expect_image(self, held: HeldBlock, machine: Machine, image: str, size_gb: float) -> None:
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -47,7 +47,7 @@
     asked: list[str] = []
     estimate = held.estimate
     monkeypatch.setattr(
-        HeldBlock, "estimate", lambda self, job: asked.append(job.job) or estimate(job)
+        HeldBlock, "estimate", lambda self, job: asked.append(job.job_id) or estimate(job)
     )
     for machine in held.machines.values():
         machine.slot = None
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -21,7 +21,7 @@
 from fallpulley.jobs.messages import JobRecord, parse_submission
 from fallpulley.jobs.open import OpenJob, chunk_tasks
 from fallpulley.settings import SettingsError, load
-from fallpulley.state.client import Bucket, Change, Priority, StateClient, Write
+from fallpulley.state.client import Bucket, Change, RequestPriority, StateClient, Write
 from fallpulley.wire.limit import AdaptiveLimit
 from fallpulley.workers.machine import Run
 from tests.world import job, settings
@@ -143,13 +143,13 @@
             {f"k{n}": 0},
             [Change(f"k{n}", b"1")],
             lambda s, _: outcomes.append(s),
-            Priority.PROGRESS,
+            RequestPriority.PROGRESS,
         )
         state.write(write)
     state.pump(0.0)
     at, changes = 0.0, sum(call.body.count(b'"set"') for call in sent if call.body)
     assert changes <= 5
-    state.write(Write({"a": 0}, [Change("a", b"1")], lambda s, _: None, Priority.ACCEPT))
+    state.write(Write({"a": 0}, [Change("a", b"1")], lambda s, _: None, RequestPriority.ACCEPT))
     sent.clear()
     while at < 2.0:
         at += 0.1
@@ -198,30 +198,30 @@
 
     spec = parse_submission(msgspec.json.encode(job(1, pieces=pieces)))
     assert not isinstance(spec, str)
-    return OpenJob(spec.uid, JobRecord("b", 0, pieces), spec, 1)
+    return OpenJob(spec.job_id, JobRecord("b", 0, pieces), spec, 1)
 
 
 def test_a_job_of_100000_tasks_keeps_its_completion_in_small_values() -> None:
     tasks = chunk_tasks(16.0)
     big = open_job(100_000)
     for index in range(0, 100_000, 3):
-        big.mark_done(index, 0.0)
+        big.mark_completed(index, 0.0)
     again = open_job(100_000)
-    for chunk in big.dirty_chunks(tasks):
-        value = base64.b64encode(big.chunk(chunk, tasks)).decode()
+    for chunk in big.unsaved_chunks(tasks):
+        value = base64.b64encode(big.chunk_bytes(chunk, tasks)).decode()
         assert len(value) < 16 * 1024 * 0.9
-        again.restore(str(chunk), tasks, value, 5)
-    assert again.done == big.done == 33_334
-    assert again.is_durable(99_999) and not again.is_done(99_998)
+        again.merge_chunk(str(chunk), tasks, value, 5)
+    assert again.completed_count == big.completed_count == 33_334
+    assert again.is_durable(99_999) and not again.is_completed(99_998)
 
 
 def test_a_job_failing_on_several_machines_pauses_longer_each_time() -> None:
     failing = open_job(4)
-    failing.failed("vm-1", 0.0, 10.0)
+    failing.record_failure("vm-1", 0.0, 10.0)
     assert failing.retry_at < 0.0  # first another machine, at once
-    failing.failed("vm-2", 0.0, 10.0)
+    failing.record_failure("vm-2", 0.0, 10.0)
     first = failing.retry_at
-    failing.failed("vm-3", 0.0, 10.0)
+    failing.record_failure("vm-3", 0.0, 10.0)
     assert 0.0 < first < failing.retry_at <= 60.0
 
 
@@ -279,15 +279,15 @@
 def test_a_task_put_back_stands_in_the_queue_once() -> None:
     """Started tasks leave the queue lazily; put back, they were booked twice."""
     again = open_job(4)
-    run = Run(again.job, 0, 1, "vm-1", 0.0, 1.0, again.need)
+    run = Run(again.job_id, 0, 1, "vm-1", 0.0, 1.0, again.resources)
     for _ in range(3):
         again.runs[0] = again.runs[1] = run
-        assert again.waiting(10) == [2, 3]
+        assert again.next_tasks(10) == [2, 3]
         del again.runs[0], again.runs[1]
-        again.put_back(0)
-        again.put_back(1)
-        assert sorted(again.waiting(10)) == [0, 1, 2, 3]
+        again.requeue(0)
+        again.requeue(1)
+        assert sorted(again.next_tasks(10)) == [0, 1, 2, 3]
     again.runs[3] = run
     del again.runs[3]
-    again.put_back(3)
-    assert sorted(again.waiting(10)) == [0, 1, 2, 3]
+    again.requeue(3)
+    assert sorted(again.next_tasks(10)) == [0, 1, 2, 3]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -277,7 +277,7 @@
     world.run(15.0)
     for controller in world.controllers.values():
         assert all(not held.jobs for held in controller.held.values())
-        assert all(known.record is None for known in controller.jobs.known.values())
+        assert all(known.record is None for known in controller.jobs.entries.values())
 
 
 # -- limits, cancels and a change of leader --------------------------------------------------
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from fallpulley.jobs.pipelines import Node, Pipelines
+from fallpulley.jobs.pipelines import DependencyNode, Pipelines
 from tests.test_day_end import started
 from tests.test_meetings import cancel, stages
 from tests.test_stories import others, ready, submit
@@ -154,7 +154,7 @@
     world.run(8.0)
     held = next(iter(world.controllers[world.holder()].held.values()))
     if last in held.jobs:
-        assert abs(held.jobs[last].since_ms / 1000 - 1e6 - end) < 1.0
+        assert abs(held.jobs[last].ready_since_ms / 1000 - 1e6 - end) < 1.0
     else:
         assert world.stage(last) == "done"
 
@@ -170,8 +170,8 @@
     submit(world, 4, awaits=[middle], rank="high", expect_s=5.0)
     world.run(1.0)
     held = next(iter(world.controllers[world.holder()].held.values()))
-    assert held.jobs[first].rank == held.jobs[middle].rank == 2
-    assert held.jobs[first].path_s == pytest.approx(7.0 + 5.0 + 2 * 0.5)
+    assert held.jobs[first].priority_level == held.jobs[middle].priority_level == 2
+    assert held.jobs[first].critical_path_s == pytest.approx(7.0 + 5.0 + 2 * 0.5)
     world.until(lambda: started(world, first) > 0, 30.0)
     assert not started(world, lone)
 
@@ -204,15 +204,17 @@
                 if stage[name] == "open":
                     for other in awaits[name]:
                         if stage.get(other) == "open" and other not in lost:
-                            pipelines.awaited(other, Node(1, 1, 1.0))
-                    changes = pipelines.opened(name, awaits[name], Node(1, 1, 1.0))
+                            pipelines.add_dependency(other, DependencyNode(1, 1, 1.0))
+                    changes = pipelines.add_job(name, awaits[name], DependencyNode(1, 1, 1.0))
                 elif stage[name] == "done":
-                    changes = pipelines.done(name, 5)
+                    changes = pipelines.complete_job(name, 5)
                 else:
-                    changes = pipelines.withdrawn(name)
-                lost.update(changes.withdrawn)
+                    changes = pipelines.cancel_job(name)
+                lost.update(changes.cancelled)
             waits = {
-                name: sorted(pipelines.nodes[name].missing) if name in pipelines.nodes else []
+                name: sorted(pipelines.nodes[name].unfinished_dependencies)
+                if name in pipelines.nodes
+                else []
                 for name in names
                 if fate.get(name, "open") == "open" and name not in lost
             }
@@ -224,19 +226,22 @@
     lost: set[str] = set()
     pipelines = Pipelines(lambda name: None, lambda name: name in lost)
     for n in range(5000):
-        pipelines.awaited(f"job-{n}", Node(0, 1, 1.0))
-        pipelines.opened(f"job-{n + 1}", [f"job-{n}"], Node(0, 1, 1.0))
-    pipelines.opened("job-9999", ["job-5000"], Node(0, 3, 1.0))
-    assert pipelines.nodes["job-0"].rank == 3 and pipelines.nodes["job-0"].path_s > 16.0
-    assert len(pipelines.withdrawn("job-0").withdrawn) == 5001
-    assert not pipelines.nodes and not any(pipelines.needed_by.values())
+        pipelines.add_dependency(f"job-{n}", DependencyNode(0, 1, 1.0))
+        pipelines.add_job(f"job-{n + 1}", [f"job-{n}"], DependencyNode(0, 1, 1.0))
+    pipelines.add_job("job-9999", ["job-5000"], DependencyNode(0, 3, 1.0))
+    assert (
+        pipelines.nodes["job-0"].priority_level == 3
+        and pipelines.nodes["job-0"].critical_path_s > 16.0
+    )
+    assert len(pipelines.cancel_job("job-0").cancelled) == 5001
+    assert not pipelines.nodes and not any(pipelines.dependents.values())
 
 
 def test_jobs_without_pipelines_cost_nothing_of_them() -> None:
     world = pipeline_world()
     submit(world, 1)
     jobs = world.controllers["node-0"].jobs
-    assert not jobs.pipelines.nodes and not jobs.pipelines.needed_by
+    assert not jobs.pipelines.nodes and not jobs.pipelines.dependents
     assert "awaits" not in json.dumps(world.state.data["live/job/job-000001"][0])
 
 
@@ -244,20 +249,32 @@
     lost: set[str] = set()
     pipelines = Pipelines(lambda name: None, lambda name: name in lost)
 
-    def node(length_s: float, due_at: float = math.inf) -> Node:
-        return Node(0, 1, length_s, own_due_at=due_at, rank=1, due_at=due_at)
-
-    pipelines.awaited("job-1", node(9.0))
-    pipelines.opened("job-2", ["job-1"], node(5.0))
-    assert math.isinf(pipelines.nodes["job-1"].due_at)
-    pipelines.opened("job-3", ["job-2"], node(7.0, due_at=100.0))
-    assert pipelines.nodes["job-2"].due_at == 100.0 - 7.0
-    assert pipelines.nodes["job-1"].due_at == 100.0 - 7.0 - 5.0
+    def node(length_s: float, due_at: float = math.inf) -> DependencyNode:
+        return DependencyNode(
+            0, 1, length_s, own_deadline_at=due_at, priority_level=1, deadline_at=due_at
+        )
+
+    pipelines.add_dependency("job-1", node(9.0))
+    pipelines.add_job("job-2", ["job-1"], node(5.0))
+    assert math.isinf(pipelines.nodes["job-1"].deadline_at)
+    pipelines.add_job("job-3", ["job-2"], node(7.0, due_at=100.0))
+    assert pipelines.nodes["job-2"].deadline_at == 100.0 - 7.0
+    assert pipelines.nodes["job-1"].deadline_at == 100.0 - 7.0 - 5.0
     # A second pipeline of which the first job is a part presses more, until it is called off.
-    pipelines.opened("job-4", ["job-1"], Node(0, 3, 2.0, own_due_at=60.0, rank=3, due_at=60.0))
-    assert (pipelines.nodes["job-1"].rank, pipelines.nodes["job-1"].due_at) == (3, 58.0)
-    assert pipelines.withdrawn("job-4").lifted == ["job-1"]
-    assert (pipelines.nodes["job-1"].rank, pipelines.nodes["job-1"].due_at) == (1, 88.0)
+    pipelines.add_job(
+        "job-4",
+        ["job-1"],
+        DependencyNode(0, 3, 2.0, own_deadline_at=60.0, priority_level=3, deadline_at=60.0),
+    )
+    assert (pipelines.nodes["job-1"].priority_level, pipelines.nodes["job-1"].deadline_at) == (
+        3,
+        58.0,
+    )
+    assert pipelines.cancel_job("job-4").more_urgent == ["job-1"]
+    assert (pipelines.nodes["job-1"].priority_level, pipelines.nodes["job-1"].deadline_at) == (
+        1,
+        88.0,
+    )
 
 
 @pytest.mark.parametrize("due_s", [30.0, 400.0])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,7 +15,7 @@
 
 from fallpulley.blocks.messages import BlockRecord, MachineEntry, Session, decode_block
 from fallpulley.jobs.messages import JobRecord
-from fallpulley.jobs.open import OpenJob, chunk_name, chunk_of, chunk_tasks, is_chunk
+from fallpulley.jobs.open import OpenJob, chunk_name, chunk_tasks, is_chunk_name, parse_chunk_name
 from fallpulley.mesh import messages as mesh
 from tests.test_day_end import started
 from tests.test_edges import open_job
@@ -53,7 +53,7 @@
             assert record.holder in LABELS and len(record.machines) > 0
             assert all(entry.addr for entry in record.machines.values())
         elif key.startswith("live/job/"):
-            assert msgspec.json.decode(body, type=JobRecord).pieces > 0
+            assert msgspec.json.decode(body, type=JobRecord).task_count > 0
         elif key.startswith("live/session/"):
             assert msgspec.json.decode(body, type=Session).format == 1
     for heartbeat in DATA["beats"]:
@@ -225,18 +225,22 @@
     assert older != newer
     done = open_job(100_000)
     for index in range(0, 100_000, 7):
-        done.mark_done(index, 0.0)
+        done.mark_completed(index, 0.0)
     values: dict[str, bytes] = {}
-    for number in done.dirty_chunks(older)[:1]:
-        values[chunk_name(number, older, False)] = done.chunk(number, older)
+    for number in done.unsaved_chunks(older)[:1]:
+        values[chunk_name(number, older, False)] = done.chunk_bytes(number, older)
     for number in range(5, -(-100_000 // newer)):
-        values[chunk_name(number, newer, True)] = done.chunk(number, newer)
-    assert all(is_chunk(name) for name in values) and not is_chunk("x") and not is_chunk("1@x")
+        values[chunk_name(number, newer, True)] = done.chunk_bytes(number, newer)
+    assert (
+        all(is_chunk_name(name) for name in values)
+        and not is_chunk_name("x")
+        and not is_chunk_name("1@x")
+    )
     again: OpenJob = open_job(100_000)
     for name, content in values.items():
-        again.restore(name, older, msgspec.to_builtins(content), 5)
-        assert chunk_of(name, older)[1] == (newer if "@" in name else older)
-    assert again.done == done.done
+        again.merge_chunk(name, older, msgspec.to_builtins(content), 5)
+        assert parse_chunk_name(name, older)[1] == (newer if "@" in name else older)
+    assert again.completed_count == done.completed_count
 
 
 def test_more_progress_values_than_a_transaction_holds_keep_no_job_from_ending() -> None:
@@ -245,5 +249,5 @@
     world.until(lambda: len(world.running(uid)) == 4, 20.0)
     held = next(iter(world.controllers[world.holder()].held.values()))
     for number in range(9):
-        held.jobs[uid].ledger[f"{number}@64"] = 0
+        held.jobs[uid].progress_revisions[f"{number}@64"] = 0
     world.until(lambda: world.stage(uid) == "done", 30.0)
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -188,8 +188,8 @@
 KINDS: dict[str, Kind] = {
     # Users.
     "submission": Kind(jobs.Submission, jobs.parse_submission, None),
-    "job named by a submission": Kind(str, jobs.named_job, None),
-    "stage": read_and_written(jobs.Stage),
+    "job named by a submission": Kind(str, jobs.job_id_of, None),
+    "stage": read_and_written(jobs.JobStatus),
     # Workers.
     "report": Kind(workers.Report, workers.parse_report, None),
     "orders": read_and_written(workers.Orders),
@@ -209,7 +209,7 @@
     "page": read_only(view._Page),
     "changes": read_only(view._Changes),
     "progress page": read_only(persistence._Page),
-    "progress pair": read_only(persistence._Pair),
+    "progress pair": read_only(persistence._Item),
     # Stored records.
     "session": read_and_written(blocks.Session),
     "format mark": read_and_written(blocks.FormatMark),
