--- a/fallpulley/workers/checkins.py
+++ b/fallpulley/workers/checkins.py
@@ -16,39 +16,45 @@
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.state.view import View
 from fallpulley.workers.machine import Machine
-from fallpulley.workers.messages import Foreman, Order, Orders, Report, parse_report
+from fallpulley.workers.messages import (
+    Heartbeat,
+    HeartbeatResponse,
+    Redirect,
+    TaskCommand,
+    parse_heartbeat,
+)
 
 log = logging.getLogger(__name__)
 
 # A machine of a block just taken over is answered so often before it must have shown our token.
-UNFENCED_ANSWERS_MOST = 3
+MAX_UNFENCED_RESPONSES = 3
 # A machine with room waits so long for the next plan to answer its report: without, room that a
 # task has just left stood idle until the next report.
-DEFER_REPORTS = 0.25
+DEFER_INTERVALS = 0.25
 # A check-in of a machine being granted waits for the record, not longer than this.
-PARK_S = 1.0
-RETRY_S = 1.0
+PARK_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
-class DeferredCheckin(msgspec.Struct):
+class DeferredHeartbeat(msgspec.Struct):
     """A check-in of a machine of ours, to be answered after the next plan."""
 
-    ticket: Any
-    held: HeldBlock
+    pending_response: Any
+    shard: HeldBlock
     machine: Machine
     newer: bool  # its report was newer than what we knew
-    until: float
+    deadline_at: float
 
 
-class ParkedCheckin(msgspec.Struct):
+class ParkedHeartbeat(msgspec.Struct):
     """A check-in of a machine that is being granted to a block."""
 
-    ticket: Any
-    report: Report
-    until: float
+    pending_response: Any
+    heartbeat: Heartbeat
+    deadline_at: float
 
 
-class CheckinHandler:
+class HeartbeatHandler:
     """Takes check-ins and answers them; `serving`: within the answer window."""
 
     def __init__(
@@ -68,91 +74,103 @@
         self.leadership = leadership
         self.writer = writer
         self.provider = provider
-        self.held = held
-        self.serving = serving
-        self.deferred: list[DeferredCheckin] = []  # in the order in which they came
-        self._arrived: list[DeferredCheckin] = []  # since the last answers
-        self._parked: list[ParkedCheckin] = []
+        self.shards = held
+        self.is_serving = serving
+        self.deferred: list[DeferredHeartbeat] = []  # in the order in which they came
+        self._arrived: list[DeferredHeartbeat] = []  # since the last answers
+        self._parked: list[ParkedHeartbeat] = []
 
-    def take(self, ticket: Any, body: bytes) -> None:
+    def handle(self, pending_response: Any, body: bytes) -> None:
         """`POST /checkin`."""
-        report = parse_report(body)
-        if report is None:
-            self.core.answer(ticket, 400, b'{"error":"malformed"}')
+        heartbeat = parse_heartbeat(body)
+        if heartbeat is None:
+            self.core.answer(pending_response, 400, b'{"error":"malformed"}')
             return
-        self._route(ticket, report, self.core.now + PARK_S)
+        self._route(pending_response, heartbeat, self.core.now + PARK_SECONDS)
 
-    def _refuse(self, ticket: Any) -> None:
+    def _respond_unavailable(self, pending_response: Any) -> None:
         """The machine tries the next controller."""
-        self.core.answer(ticket, 503, b"", RETRY_S)
+        self.core.answer(pending_response, 503, b"", RETRY_AFTER_SECONDS)
 
-    def _route(self, ticket: Any, report: Report, park_until: float) -> None:
-        if not self.view.loaded or not self.serving():
-            self._refuse(ticket)
+    def _route(self, pending_response: Any, heartbeat: Heartbeat, deadline_at: float) -> None:
+        if not self.view.loaded or not self.is_serving():
+            self._respond_unavailable(pending_response)
             return
-        label = self.registry.host_block.get(report.host)
+        label = self.registry.shard_of_machine.get(heartbeat.machine_id)
         if label is None:
-            self._unknown_machine(ticket, report, park_until)
+            self._handle_unknown_machine(pending_response, heartbeat, deadline_at)
             return
-        held = self.held.get(label)
+        held = self.shards.get(label)
         if held is None:
-            self._redirect(ticket, self.registry.holder_of(label))
+            self._redirect(pending_response, self.registry.holder_of(label))
             return
-        machine = held.machines.get(report.host)
-        if machine is None or report.baton > held.token or machine.is_copy(report):
+        machine = held.machines.get(heartbeat.machine_id)
+        if (
+            machine is None
+            or heartbeat.fencing_token > held.token
+            or machine.is_stale_copy(heartbeat)
+        ):
             # Somebody with a higher token has spoken to it: our copy is behind. Or it is a late
             # copy of a report: an answer must not count as one that its lease goes on with.
-            self._refuse(ticket)
+            self._respond_unavailable(pending_response)
             return
-        self._defer(ticket, report, held, machine)
+        self._defer(pending_response, heartbeat, held, machine)
 
-    def _defer(self, ticket: Any, report: Report, held: HeldBlock, machine: Machine) -> None:
-        if report.baton > machine.token:
+    def _defer(
+        self, pending_response: Any, heartbeat: Heartbeat, held: HeldBlock, machine: Machine
+    ) -> None:
+        if heartbeat.fencing_token > machine.fencing_token:
             # Away and back between two looks of ours: to us it is a machine just granted.
-            machine.token = held.token
+            machine.fencing_token = held.token
             machine.fenced = False
-        newer = held.intake.take(machine, report, checkin=True)
-        if report.addr:
-            self.writer.addresses[report.host] = report.addr
-        until = self.core.now + DEFER_REPORTS * self.core.report_s
-        self._arrived.append(DeferredCheckin(ticket, held, machine, newer, until))
+        newer = held.intake.handle(machine, heartbeat, is_heartbeat=True)
+        if heartbeat.address:
+            self.writer.addresses[heartbeat.machine_id] = heartbeat.address
+        until = self.core.now + DEFER_INTERVALS * self.core.report_s
+        self._arrived.append(DeferredHeartbeat(pending_response, held, machine, newer, until))
 
-    def _redirect(self, ticket: Any, holder: str | None) -> None:
+    def _redirect(self, pending_response: Any, holder: str | None) -> None:
         if holder is None or holder == self.core.label:
-            self._refuse(ticket)
+            self._respond_unavailable(pending_response)
             return
-        self.core.answer(ticket, 421, msgspec.json.encode(Foreman(holder)))
+        self.core.answer(pending_response, 421, msgspec.json.encode(Redirect(holder)))
 
-    def _unknown_machine(self, ticket: Any, report: Report, park_until: float) -> None:
+    def _handle_unknown_machine(
+        self, pending_response: Any, heartbeat: Heartbeat, deadline_at: float
+    ) -> None:
         """Only the leader grants machines to blocks."""
         leader = self.registry.leader
         if self.leadership.term is None:
-            self._redirect(ticket, leader[0].label if leader else None)
+            self._redirect(pending_response, leader[0].label if leader else None)
             return
-        coming = self.writer.coming(report.host)
-        if not coming and report.host in self.provider.listed:
+        coming = self.writer.coming(heartbeat.machine_id)
+        if not coming and heartbeat.machine_id in self.provider.listed_machines:
             # Only with the cloud's word: the report may be a late copy of a machine long gone.
             coming = self.provider.adopt(
-                report.host, report.addr, report.build, report.hall, report.loaners
+                heartbeat.machine_id,
+                heartbeat.address,
+                heartbeat.machine_type,
+                heartbeat.zone,
+                heartbeat.spot,
             )
-        if coming and self.core.now < park_until:
-            self._parked.append(ParkedCheckin(ticket, report, park_until))
+        if coming and self.core.now < deadline_at:
+            self._parked.append(ParkedHeartbeat(pending_response, heartbeat, deadline_at))
             return
-        self._refuse(ticket)
+        self._respond_unavailable(pending_response)
 
-    def unpark(self) -> None:
+    def retry_parked(self) -> None:
         """Look again at machines that were being granted."""
         parked, self._parked = self._parked, []
-        for checkin in parked:
-            known = checkin.report.host in self.registry.host_block
-            if known or self.core.now >= checkin.until:
-                self._route(checkin.ticket, checkin.report, checkin.until)
+        for deferred in parked:
+            known = deferred.heartbeat.machine_id in self.registry.shard_of_machine
+            if known or self.core.now >= deferred.deadline_at:
+                self._route(deferred.pending_response, deferred.heartbeat, deferred.deadline_at)
             else:
-                self._parked.append(checkin)
+                self._parked.append(deferred)
 
     # -- answers ---------------------------------------------------------------------------
 
-    def answer_deferred(self, look_again: bool) -> None:
+    def respond_to_deferred(self, look_again: bool) -> None:
         """Answer the check-ins that need not wait any longer for a plan or a mark.
 
         Between two plans and looks at marks those that waited before go on waiting until their
@@ -160,88 +178,90 @@
         """
         if not look_again:
             now = self.core.now
-            overdue = next((n for n, c in enumerate(self.deferred) if c.until > now), None)
-            self._answer_some(self.deferred[:overdue])
+            overdue = next((n for n, c in enumerate(self.deferred) if c.deadline_at > now), None)
+            self._respond_to(self.deferred[:overdue])
             self.deferred = [] if overdue is None else self.deferred[overdue:]
         else:
             self._arrived, self.deferred = self.deferred + self._arrived, []
         arrived, self._arrived = self._arrived, []
-        self.deferred += self._answer_some(arrived)
+        self.deferred += self._respond_to(arrived)
 
-    def _answer_some(self, checkins: list[DeferredCheckin]) -> list[DeferredCheckin]:
+    def _respond_to(self, heartbeats: list[DeferredHeartbeat]) -> list[DeferredHeartbeat]:
         """Answer those that need not wait; returns the others."""
         waiting = []
-        for checkin in checkins:
-            if self._waits(checkin):
-                waiting.append(checkin)
-            elif self._may_answer(checkin):
-                self._answer(checkin)
+        for deferred in heartbeats:
+            if self._must_wait(deferred):
+                waiting.append(deferred)
+            elif self._may_respond(deferred):
+                self._respond(deferred)
             else:
-                self._refuse(checkin.ticket)
+                self._respond_unavailable(deferred.pending_response)
         return waiting
 
-    def _waits(self, checkin: DeferredCheckin) -> bool:
-        machine = checkin.machine
-        unplanned = checkin.held.dirty or not machine.used  # the next plan, or its mark
-        in_time = self.core.now < checkin.until
+    def _must_wait(self, deferred: DeferredHeartbeat) -> bool:
+        machine = deferred.machine
+        unplanned = (
+            deferred.shard.dirty or not machine.marked_occupied
+        )  # the next plan, or its mark
+        in_time = self.core.now < deferred.deadline_at
         return unplanned and in_time and machine.usable and not machine.full
 
-    def _may_answer(self, checkin: DeferredCheckin) -> bool:
-        held, machine = checkin.held, checkin.machine
-        if self.held.get(held.label) is not held or machine.host not in held.machines:
+    def _may_respond(self, deferred: DeferredHeartbeat) -> bool:
+        held, machine = deferred.shard, deferred.machine
+        if self.shards.get(held.label) is not held or machine.machine_id not in held.machines:
             return False
-        if not self.serving():
+        if not self.is_serving():
             return False  # looked at again: one that waited may have outlived the window
-        if machine.host not in held.unconfirmed or machine.fenced:
+        if machine.machine_id not in held.unconfirmed or machine.fenced:
             return True
         # It may hold tasks and has not shown that it hears us. An answer may renew its lease, so
         # it gets a few only: a machine that hears nothing would put off the proof that it is
         # empty, and every job accepted before, for ever.
-        if machine.unfenced_answers >= UNFENCED_ANSWERS_MOST:
+        if machine.unfenced_responses >= MAX_UNFENCED_RESPONSES:
             return False
-        machine.unfenced_answers += 1
+        machine.unfenced_responses += 1
         return True
 
-    def _answer(self, checkin: DeferredCheckin) -> None:
-        held, machine = checkin.held, checkin.machine
-        orders: list[Order] = []
+    def _respond(self, deferred: DeferredHeartbeat) -> None:
+        held, machine = deferred.shard, deferred.machine
+        commands: list[TaskCommand] = []
         if machine.fenced:
             # Also when an answer of `/do` has overtaken the report: the reply renews the
             # lease, so it carries what is to stop.
-            orders = held.commands.orders(machine)
+            commands = held.commands.pending_commands(machine)
             # The mark by the newest copy of the record, not by the last look over all marks.
-            used = machine.used and self.writer.used(held.label, machine.host)
-            if checkin.newer and machine.usable and used and self.view.ready:
-                orders += self._runs(held, machine)
-        machine.replied_at = self.core.now
-        body = msgspec.json.encode(Orders(machine.token, orders))
-        self.core.answer(checkin.ticket, 200, body)
-
-    def _runs(self, held: HeldBlock, machine: Machine) -> list[Order]:
+            used = machine.marked_occupied and self.writer.used(held.label, machine.machine_id)
+            if deferred.newer and machine.usable and used and self.view.ready:
+                commands += self._start_commands(held, machine)
+        machine.last_response_at = self.core.now
+        body = msgspec.json.encode(HeartbeatResponse(machine.fencing_token, commands))
+        self.core.answer(deferred.pending_response, 200, body)
+
+    def _start_commands(self, held: HeldBlock, machine: Machine) -> list[TaskCommand]:
         """The tasks booked on the machine from now on."""
-        orders = []
-        for booking in held.booked.pop(machine.host, ()):
-            job = held.jobs.get(booking.job)
+        commands = []
+        for booking in held.booked.pop(machine.machine_id, ()):
+            job = held.jobs.get(booking.job_id)
             if (
                 job is None
                 or job.cancelled
-                or booking.index in job.runs
-                or job.is_completed(booking.index)
+                or booking.task_index in job.runs
+                or job.is_completed(booking.task_index)
             ):
                 continue
-            order = held.commands.start(machine, job, booking, held.estimate(job))
-            if order is None:
+            command = held.commands.start(machine, job, booking, held.estimate(job))
+            if command is None:
                 break
-            orders.append(order)
-            self._expect_image(held, machine, job.spec.image, job.spec.image_gb)
-        return orders
+            commands.append(command)
+            self._record_image(held, machine, job.spec.image, job.spec.image_gb)
+        return commands
 
-    def _expect_image(self, held: HeldBlock, machine: Machine, image: str, size_gb: float) -> None:
-        kind = self.registry.types.get(machine.entry.build)
-        if kind is None:
+    def _record_image(self, held: HeldBlock, machine: Machine, image: str, size_gb: float) -> None:
+        machine_type = self.registry.machine_types.get(machine.entry.machine_type)
+        if machine_type is None:
             return
         if image not in machine.images:
             begin = max([self.core.now, *machine.fetching.values()])
-            machine.fetching[image] = begin + size_gb / max(kind.fetch_gb_per_s, 1e-3)
-            held.decisions.image_cached(machine.host, image, size_gb)
-        machine.remember_image(image, size_gb, kind.cache_gb)
+            machine.fetching[image] = begin + size_gb / max(machine_type.fetch_gb_per_s, 1e-3)
+            held.decisions.image_cached(machine.machine_id, image, size_gb)
+        machine.cache_image(image, size_gb, machine_type.cache_gb)
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -8,7 +8,7 @@
 from fallpulley.blocks.held import HeldBlock
 from fallpulley.blocks.marks import UsedMarks
 from fallpulley.blocks.messages import MachineEntry
-from fallpulley.placement.queue import slots_of
+from fallpulley.placement.queue import machine_snapshots
 from fallpulley.workers.machine import Machine
 from tests.test_stories import busy
 
@@ -50,8 +50,8 @@
         HeldBlock, "estimate", lambda self, job: asked.append(job.job_id) or estimate(job)
     )
     for machine in held.machines.values():
-        machine.slot = None
-    slots = slots_of(held, controller.registry.types, world.now)
+        machine.snapshot = None
+    slots = machine_snapshots(held, controller.registry.machine_types, world.now)
     assert sum(len(slot.running) for slot in slots) == 4
     assert asked == [uid]
 
@@ -61,6 +61,6 @@
     for number in range(40):
         machine = Machine(f"m{number}", MachineEntry("", "box", "a", False), 1, 0.0)
         for _ in range(12):
-            machine.learn_speed(2.0 + number / 400)
+            machine.record_run_time_ratio(2.0 + number / 400)
         kinds.add(machine.slowness)
     assert len(kinds) <= 2
--- a/tests/test_day_end.py
+++ b/tests/test_day_end.py
@@ -208,7 +208,7 @@
         assert replay(world, world.holder(), running) == [503]
     held = next(iter(world.controllers[world.holder()].held.values()))
     # Its lease was over in spite of the copies, and its tasks have room elsewhere.
-    assert dead not in held.machines or not held.machines[dead].up
+    assert dead not in held.machines or not held.machines[dead].online
     world.until(lambda: world.stage(uid) == "done", 90.0)
 
 
@@ -231,7 +231,7 @@
     for host, body in copies.items():
         replay(world, world.holder(), body)
         machine = held.machines[host]
-        assert not machine.fenced and not machine.up and host in held.unconfirmed
+        assert not machine.fenced and not machine.online and host in held.unconfirmed
     world.cut.clear()
     world.until(lambda: world.stage(uid) == "done", 120.0)
     assert held.machines
@@ -432,11 +432,11 @@
     world, uid = busy(4, 60.0, expect_s=60.0)
     world.run(3.0)
     held = next(iter(world.controllers[world.holder()].held.values()))
-    pictures = {host: machine.slot for host, machine in held.machines.items()}
-    ticks = {host: machine.tick for host, machine in held.machines.items()}
+    pictures = {host: machine.snapshot for host, machine in held.machines.items()}
+    ticks = {host: machine.sequence for host, machine in held.machines.items()}
     token = held.token
     world.run(3.0)
     assert len(world.running(uid)) == 4 and held.token == token
     for host, machine in held.machines.items():
-        assert machine.tick >= ticks[host] + 2  # it went on reporting
-        assert machine.slot is pictures[host] is not None
+        assert machine.sequence >= ticks[host] + 2  # it went on reporting
+        assert machine.snapshot is pictures[host] is not None
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -64,9 +64,11 @@
         assert not action.in_use, action
         before = [intent.action for stamp, intent in recorded if stamp <= action.ledger]
         if action.name:
-            assert any(isinstance(a, Rent) and a.request.hire == action.name for a in before)
+            assert any(isinstance(a, Rent) and a.request.request_id == action.name for a in before)
         else:
-            assert any(isinstance(a, Return) and a.hosts == action.hosts for a in before), action
+            assert any(isinstance(a, Return) and a.machine_ids == action.hosts for a in before), (
+                action
+            )
 
 
 def check_records(world: World) -> list[tuple[int, Intent]]:
@@ -87,7 +89,7 @@
 def accounted(world: World) -> bool:
     """Every machine that there is stands in the record of a block."""
     registry = world.controllers[leader(world)].registry
-    return all(host in registry.host_block for host in world.workers)
+    return all(host in registry.shard_of_machine for host in world.workers)
 
 
 def test_every_action_is_recorded_before_it_goes_out_and_settled_after() -> None:
@@ -142,7 +144,7 @@
 def is_returning(world: World, label: str, host: str) -> bool:
     """The controller has just asked the cloud to take the machine back."""
     provider = world.controllers[label].provider
-    asked = host in provider.to_release and provider._next_release > world.now
+    asked = host in provider.release_requested and provider._next_release > world.now
     if world.controllers[label].duties is not None:
         return asked and any("returning" in key for key in open_intents(world))
     return asked
@@ -181,9 +183,9 @@
     done = world.actions[actions:]
     assert done and all(not action.sender.endswith(" boot-1") or old != "node-0" for action in done)
     if isinstance(intent.action, Rent):
-        assert [a.name for a in world.actions].count(intent.action.request.hire) == 1
+        assert [a.name for a in world.actions].count(intent.action.request.request_id) == 1
     else:
-        assert not set(intent.action.hosts) & world.workers.keys()
+        assert not set(intent.action.machine_ids) & world.workers.keys()
     world.until(lambda: accounted(world), 30.0)
     check_actions(world)
 
@@ -251,7 +253,7 @@
     world.crash(world.holder())
     world.until(lambda: world.holder() in world.controllers, 10.0)
     holder = world.holder()
-    world.until(lambda: quiet in world.controllers[holder].provider.to_release, 20.0)
+    world.until(lambda: quiet in world.controllers[holder].provider.release_requested, 20.0)
     world.unanswered[holder] = 8.0
     world.until(lambda: bool(service(world, holder)._writing), 5.0)
     world.step()
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -17,13 +17,13 @@
 from fallpulley.cli import main
 from fallpulley.effects import Call
 from fallpulley.fleet.messages import MachineType
-from fallpulley.fleet.sizing import Group, Supply, size_fleet
+from fallpulley.fleet.sizing import DemandGroup, SupplyUnit, size_fleet
 from fallpulley.jobs.messages import JobRecord, parse_submission
 from fallpulley.jobs.open import OpenJob, chunk_tasks
 from fallpulley.settings import SettingsError, load
 from fallpulley.state.client import Bucket, Change, RequestPriority, StateClient, Write
 from fallpulley.wire.limit import AdaptiveLimit
-from fallpulley.workers.machine import Run
+from fallpulley.workers.machine import TaskRun
 from tests.world import job, settings
 
 GOOD = """
@@ -229,17 +229,20 @@
 
 
 def test_the_fleet_grows_with_work_and_idle_machines_go_back() -> None:
-    work = [Group(True, None, None, 1600.0, 4.0)]
+    work = [DemandGroup(True, None, None, 1600.0, 4.0)]
     sizing = size_fleet(work, [], {"box": KIND}, set(), 0.5, 0.75, 100)
-    assert sum(rent.number for rent in sizing.rents) == 10
-    assert {rent.spot for rent in sizing.rents} == {True}
-    assert {rent.zone for rent in sizing.rents} == {"a", "b"}
+    assert sum(rent.count for rent in sizing.scale_out) == 10
+    assert {rent.spot for rent in sizing.scale_out} == {True}
+    assert {rent.zone for rent in sizing.scale_out} == {"a", "b"}
     # Work that may not use spot machines gets ordinary ones; refused kinds are passed over.
-    ordinary = [Group(False, None, None, 160.0, 4.0)]
+    ordinary = [DemandGroup(False, None, None, 160.0, 4.0)]
     sizing = size_fleet(ordinary, [], {"box": KIND}, {("box", "a", False)}, 0.5, 0.75, 100)
-    assert [(rent.zone, rent.spot) for rent in sizing.rents] == [("b", False)]
-    idle = [Supply("m1", "box", "a", True, 8.0, 100.0), Supply("m2", "box", "a", True, 8.0, 5.0)]
-    assert size_fleet([], idle, {"box": KIND}, set(), 0.5, 0.75, 100).returns == ["m1"]
+    assert [(rent.zone, rent.spot) for rent in sizing.scale_out] == [("b", False)]
+    idle = [
+        SupplyUnit("m1", "box", "a", True, 8.0, 100.0),
+        SupplyUnit("m2", "box", "a", True, 8.0, 5.0),
+    ]
+    assert size_fleet([], idle, {"box": KIND}, set(), 0.5, 0.75, 100).scale_in == ["m1"]
 
 
 def test_the_limit_shrinks_when_answers_slow_down_and_grows_back() -> None:
@@ -279,7 +282,7 @@
 def test_a_task_put_back_stands_in_the_queue_once() -> None:
     """Started tasks leave the queue lazily; put back, they were booked twice."""
     again = open_job(4)
-    run = Run(again.job_id, 0, 1, "vm-1", 0.0, 1.0, again.resources)
+    run = TaskRun(again.job_id, 0, 1, "vm-1", 0.0, 1.0, again.resources)
     for _ in range(3):
         again.runs[0] = again.runs[1] = run
         assert again.next_tasks(10) == [2, 3]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -101,7 +101,7 @@
     writes = stored.writes
     host = next(iter(machines))
     stored.wish(Wishes(marks={host: True}), backwards=True)
-    assert stored.writes - writes <= 3 and stored.record.machines[host].used
+    assert stored.writes - writes <= 3 and stored.record.machines[host].occupied
     # A takeover writes the record alone.
     changed = msgspec.structs.replace(stored.record, holder="node-1", boot="other")
     value = changed.encode(True, SMALL.value_bytes)
@@ -162,12 +162,12 @@
         assert set(stored.record.machines) == set(expected)
         assert stored.largest <= limits.value_bytes
         for host, entry in stored.record.machines.items():
-            assert (entry.build, entry.zone, entry.spot) == (
-                expected[host].build,
+            assert (entry.machine_type, entry.zone, entry.spot) == (
+                expected[host].machine_type,
                 expected[host].zone,
                 expected[host].spot,
             )
-            assert not entry.used or host in marks or expected[host].used
+            assert not entry.occupied or host in marks or expected[host].occupied
         expected = dict(stored.record.machines)
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,7 +13,7 @@
 
 from fallpulley.blocks.messages import decode_block
 from fallpulley.effects import Request
-from fallpulley.workers.checkins import DeferredCheckin
+from fallpulley.workers.checkins import DeferredHeartbeat
 from tests.test_day_end import replay, started
 from tests.test_stories import busy, others, ready, submit
 from tests.world import LABELS, World, job
@@ -37,7 +37,7 @@
     for record in world.blocks().values():
         entry = decode_block(json.dumps(record).encode()).machines.get(host)
         if entry is not None:
-            return entry.used
+            return entry.occupied
     return False
 
 
@@ -105,7 +105,7 @@
     def ticket(status: int, body: bytes, retry_after: float | None) -> None:
         answers.append(status)
 
-    controller.checkins.deferred.append(DeferredCheckin(ticket, held, machine, True, 0.0))
+    controller.checkins.deferred.append(DeferredHeartbeat(ticket, held, machine, True, 0.0))
     controller.view.fresh_at = controller.core.now - controller.core.window_s
     world.step()
     assert answers == [503] and host in held.machines
@@ -222,7 +222,7 @@
     controller = world.controllers[node]
     writer, (label,) = controller.writer, controller.held
     record, _ = controller.registry.blocks[label]
-    assert record.machines[host].used
+    assert record.machines[host].occupied
     writer.mark(label, host, False)
     world.unanswered[node] = 0.0  # carried out, unanswered, and not seen here for a while
     controller.view.on_key = lambda key, value, stamp: None
@@ -430,7 +430,7 @@
     world.run(0.5)
     held = next(iter(world.controllers[world.holder()].held.values()))
     world.until(lambda: bool(held.machines[dead].runs), 5.0)
-    assert not held.machines[dead].up
+    assert not held.machines[dead].online
     world.workers[dead].hung = True
     world.until(lambda: world.stage(uid) == "done", 90.0)
 
@@ -485,11 +485,11 @@
     world.until(lambda: world.holder() != old, 10.0)
     world.run(4.0)
     held = next(iter(world.controllers[world.holder()].held.values()))
-    before = (held.machines[host].shift, held.machines[host].tick)
+    before = (held.machines[host].agent_epoch, held.machines[host].sequence)
     assert replay(world, world.holder(), body) == [503]
     # As an answer of `/do` that was held up it is no news either.
-    held.commands._direct_answer(held.machines[host], 200, body)
-    assert (held.machines[host].shift, held.machines[host].tick) >= before
+    held.commands._on_direct_response(held.machines[host], 200, body)
+    assert (held.machines[host].agent_epoch, held.machines[host].sequence) >= before
     world.until(lambda: world.stage(uid) == "done", 60.0)
     assert len(world.starts_seen) == 4
 
@@ -516,9 +516,9 @@
     held = next(iter(world.controllers[world.holder()].held.values()))
     run = next(iter(held.machines[host].runs.values()))
     late = {
-        "baton": held.machines[host].token,
+        "baton": held.machines[host].fencing_token,
         "shift": worker.shift,
-        "orders": [{"verb": "stop", "piece": run.piece, "try": run.attempt, "windup_s": 0}],
+        "orders": [{"verb": "stop", "piece": run.task_id, "try": run.attempt, "windup_s": 0}],
     }
     worker.hung = True
     world.run(4.0)
@@ -534,7 +534,7 @@
     world, uid = busy(4, 300.0)
     held = next(iter(world.controllers[world.holder()].held.values()))
     for host, machine in held.machines.items():
-        machine.tick += 60  # as if newer answers of `/do` had come before all its reports
+        machine.sequence += 60  # as if newer answers of `/do` had come before all its reports
         world.no_direct.add(host)
     cancel(world, "node-1", uid)
     world.until(lambda: not world.running(uid), 2.0)
@@ -668,7 +668,7 @@
     controller = world.controllers[world.holder()]
     (held,) = controller.held.values()
     machine = next(iter(held.machines.values()))
-    machine.leaving = True
+    machine.leaving_shard = True
     world.run(1.0)
     assert machine.usable
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,13 +6,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fallpulley.placement.estimate import Corrections, left_of, run_estimate
+from fallpulley.placement.estimate import Corrections, remaining_run_time, run_estimate
 from fallpulley.placement.plan import (
-    Slot,
-    Waiting,
+    MachineSnapshot,
+    PendingJob,
     _Planner,
+    count_shapes,
     eligible,
-    kinds_of,
     make_plan,
     queue_order,
     remaining_time,
@@ -52,85 +52,87 @@
         assert sum(entry[4] for entry in now) <= 16.0 + 1e-6
 
 
-def slot(host: str, **over: object) -> Slot:
+def snapshot(machine_id: str, **over: object) -> MachineSnapshot:
     given_ = {
-        "host": host,
-        "build": "box",
+        "machine_id": machine_id,
+        "machine_type": "box",
         "zone": "a",
         "spot": False,
-        "size": (8.0, 0.0, 32.0),
-        "fetch_rate": 1.0,
+        "capacity": (8.0, 0.0, 32.0),
+        "fetch_gb_per_s": 1.0,
         "slowness": 1.0,
         "running": [],
         "images": {"img": 0.0},
         "fetch_free_at": 0.0,
     } | over
-    return Slot(**given_)  # type: ignore[arg-type]
+    return MachineSnapshot(**given_)  # type: ignore[arg-type]
 
 
-def waiting(name: str, tasks: int = 1, **over: object) -> Waiting:
+def pending(name: str, tasks: int = 1, **over: object) -> PendingJob:
     given_ = {
-        "job": name,
-        "need": (4.0, 0.0, 4.0),
-        "estimate_s": 10.0,
-        "tasks": tasks,
+        "job_id": name,
+        "resources": (4.0, 0.0, 4.0),
+        "estimated_run_s": 10.0,
+        "task_count": tasks,
         "image": "img",
         "image_gb": 5.0,
         "remaining_s": 10.0,
         "overdue": False,
-        "submitted": 0.0,
-        "spot_ok": True,
+        "submitted_at": 0.0,
+        "allow_spot": True,
     } | over
-    return Waiting(**given_)  # type: ignore[arg-type]
+    return PendingJob(**given_)  # type: ignore[arg-type]
 
 
-def starts(jobs: list[Waiting], slots: list[Slot], now: float = 0.0) -> list[tuple[str, str]]:
-    return [(b.job, b.host) for b in make_plan(jobs, slots, now).starts]
+def starts(
+    jobs: list[PendingJob], snapshots: list[MachineSnapshot], now: float = 0.0
+) -> list[tuple[str, str]]:
+    return [(b.job_id, b.machine_id) for b in make_plan(jobs, snapshots, now).starts]
 
 
 def test_the_shortest_job_starts_first_unless_one_waited_past_the_age_bound() -> None:
-    long = waiting("long", 2, remaining_s=50.0)
-    short = waiting("short", 2, remaining_s=10.0)
-    assert {job for job, _ in starts([long, short], [slot("m")])} == {"short"}
+    long = pending("long", 2, remaining_s=50.0)
+    short = pending("short", 2, remaining_s=10.0)
+    assert {job for job, _ in starts([long, short], [snapshot("m")])} == {"short"}
     long.overdue = True
-    assert {job for job, _ in starts([long, short], [slot("m")])} == {"long"}
+    assert {job for job, _ in starts([long, short], [snapshot("m")])} == {"long"}
 
 
 def test_a_short_task_backfills_only_where_it_delays_nobody() -> None:
     running = [(20.0, 4.0, 0.0, 4.0)]
-    wide = waiting("wide", need=(8.0, 0.0, 4.0), remaining_s=1.0)
-    fits = waiting("fits", estimate_s=15.0, remaining_s=5.0)
-    delays = waiting("delays", estimate_s=25.0, remaining_s=5.0)
-    assert starts([wide, fits], [slot("m", running=running)]) == [("fits", "m")]
-    assert starts([wide, delays], [slot("m", running=running)]) == []
+    wide = pending("wide", resources=(8.0, 0.0, 4.0), remaining_s=1.0)
+    fits = pending("fits", estimated_run_s=15.0, remaining_s=5.0)
+    delays = pending("delays", estimated_run_s=25.0, remaining_s=5.0)
+    assert starts([wide, fits], [snapshot("m", running=running)]) == [("fits", "m")]
+    assert starts([wide, delays], [snapshot("m", running=running)]) == []
 
 
 def test_an_image_that_is_there_makes_for_the_earlier_finish() -> None:
-    cold = slot("cold", images={})
-    assert starts([waiting("j")], [cold, slot("warm")]) == [("j", "warm")]
+    cold = snapshot("cold", images={})
+    assert starts([pending("j")], [cold, snapshot("warm")]) == [("j", "warm")]
     # Waiting for the warm machine's room beats a fetch only when it clearly finishes earlier.
-    busy = slot("warm", running=[(2.0, 8.0, 0.0, 32.0)])
-    assert starts([waiting("j", image_gb=9.0)], [cold, busy]) == []
-    busy = slot("warm", running=[(9.0, 8.0, 0.0, 32.0)])
-    assert starts([waiting("j")], [cold, busy]) == [("j", "cold")]
+    busy = snapshot("warm", running=[(2.0, 8.0, 0.0, 32.0)])
+    assert starts([pending("j", image_gb=9.0)], [cold, busy]) == []
+    busy = snapshot("warm", running=[(9.0, 8.0, 0.0, 32.0)])
+    assert starts([pending("j")], [cold, busy]) == [("j", "cold")]
 
 
 def test_kinds_zones_and_spread_are_kept() -> None:
-    spot, here, there = slot("s", spot=True), slot("a"), slot("b", zone="b")
-    assert starts([waiting("j", spot_ok=False)], [spot]) == []
-    assert starts([waiting("j", zone="b")], [here, there]) == [("j", "b")]
-    one = starts([waiting("j", 4, one_zone=True)], [here, there])
-    assert len(one) == 2 and len({host for _, host in one}) == 1
-    spread = starts([waiting("j", 4, zone_room={"a": 1, "b": 1})], [here, there])
-    assert sorted(host for _, host in spread) == ["a", "b"]
+    spot, here, there = snapshot("s", spot=True), snapshot("a"), snapshot("b", zone="b")
+    assert starts([pending("j", allow_spot=False)], [spot]) == []
+    assert starts([pending("j", zone="b")], [here, there]) == [("j", "b")]
+    one = starts([pending("j", 4, one_zone=True)], [here, there])
+    assert len(one) == 2 and len({machine_id for _, machine_id in one}) == 1
+    spread = starts([pending("j", 4, zone_limits={"a": 1, "b": 1})], [here, there])
+    assert sorted(machine_id for _, machine_id in spread) == ["a", "b"]
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.integers(1, 60), st.integers(1, 6))
 def test_remaining_time_is_the_length_of_a_list_schedule(tasks: int, machines: int) -> None:
-    slots = [slot(f"m{n}") for n in range(machines)]
+    snapshots = [snapshot(f"m{n}") for n in range(machines)]
     waves = -(-tasks // (2 * machines))
-    found = remaining_time((4.0, 0.0, 4.0), 10.0, tasks, kinds_of(slots))
+    found = remaining_time((4.0, 0.0, 4.0), 10.0, tasks, count_shapes(snapshots))
     assert 10.0 * waves <= found <= 10.0 * waves * 1.02 + 0.1
 
 
@@ -142,21 +144,21 @@
     assert learned.factor("other") == 1.0
     assert run_estimate(10.0, 0, 0.0) == 10.0
     assert 18.0 < run_estimate(10.0, 20, 400.0) < 20.0
-    assert left_of(10.0, 4.0) == 6.0
-    assert left_of(10.0, 30.0) > 0
+    assert remaining_run_time(10.0, 4.0) == 6.0
+    assert remaining_run_time(10.0, 30.0) > 0
 
 
 def test_the_queue_order_is_total() -> None:
-    jobs = [waiting("a", remaining_s=3.0), waiting("b", remaining_s=2.0, submitted=1.0)]
-    assert [job.job for job in sorted(jobs, key=queue_order)] == ["b", "a"]
+    jobs = [pending("a", remaining_s=3.0), pending("b", remaining_s=2.0, submitted_at=1.0)]
+    assert [job.job_id for job in sorted(jobs, key=queue_order)] == ["b", "a"]
 
 
 def test_room_made_for_an_urgent_task_does_not_go_back_to_an_old_job() -> None:
     """With the age bound before high ranks, stopped tasks of an old job took their own room
     back, were stopped again, and nothing got done."""
-    old = waiting("old", 2, overdue=True, rank=0)
-    urgent = waiting("urgent", 2, rank=2, remaining_s=99.0)
-    assert {job for job, _ in starts([old, urgent], [slot("m")])} == {"urgent"}
+    old = pending("old", 2, overdue=True, priority_level=0)
+    urgent = pending("urgent", 2, priority_level=2, remaining_s=99.0)
+    assert {job for job, _ in starts([old, urgent], [snapshot("m")])} == {"urgent"}
 
 
 def test_jobs_behind_a_full_fleet_cost_no_look_at_its_machines(
@@ -168,8 +170,8 @@
     monkeypatch.setattr(
         _Planner, "candidate", lambda self, job, at: looks.append(at) or real(self, job, at)
     )
-    full = [slot(f"m{n}", running=[(20.0 + n, 8.0, 0.0, 8.0)]) for n in range(40)]
-    jobs = [waiting(f"j{n:02}", 20, remaining_s=float(n), rank=2) for n in range(20)]
+    full = [snapshot(f"m{n}", running=[(20.0 + n, 8.0, 0.0, 8.0)]) for n in range(40)]
+    jobs = [pending(f"j{n:02}", 20, remaining_s=float(n), priority_level=2) for n in range(20)]
     make_plan(jobs[:2], full, 0.0)
     few = len(looks)
     make_plan(jobs, full, 0.0)
@@ -181,17 +183,17 @@
 ) -> None:
     # Nine tenths of a fleet were asked whether they may run each urgent job, in every plan.
     busy = [(9.0, 8.0, 0.0, 32.0)]
-    spots = [slot(f"s{n}", spot=True, running=busy) for n in range(90)]
-    plain = [slot(f"p{n}", running=busy) for n in range(10)]
+    spots = [snapshot(f"s{n}", spot=True, running=busy) for n in range(90)]
+    plain = [snapshot(f"p{n}", running=busy) for n in range(10)]
     looks = 0
 
-    def counted(job: Waiting, at: Slot) -> bool:
+    def counted(job: PendingJob, at: MachineSnapshot) -> bool:
         nonlocal looks
         looks += 1
         return eligible(job, at)
 
     monkeypatch.setattr("fallpulley.placement.plan.eligible", counted)
-    jobs = [waiting(f"j{n}", spot_ok=False, rank=2) for n in range(5)]
+    jobs = [pending(f"j{n}", allow_spot=False, priority_level=2) for n in range(5)]
     plan = make_plan(jobs, spots + plain, 0.0)
     assert plan.booked_later == 5
     assert looks <= 5 * len(plain)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -113,7 +113,7 @@
         world.step()
         for controller in world.controllers.values():
             for held in controller.held.values():
-                asked |= {h for h, m in held.machines.items() if m.fence_at > 0}
+                asked |= {h for h, m in held.machines.items() if m.next_fence_at > 0}
                 whole_turn = whole_turn or set(lost) <= asked
     assert whole_turn
     world.cut.clear()
@@ -152,9 +152,9 @@
     for worker in world.workers.values():
         worker.hung = True
     leader = next(c for c in world.controllers.values() if c.leadership.term is not None)
-    world.until(lambda: len(leader.provider.listed) == MACHINES, 90.0)
+    world.until(lambda: len(leader.provider.listed_machines) == MACHINES, 90.0)
     assert world.listings >= MACHINES // 500
-    world.until(lambda: len(leader.registry.host_block) == MACHINES, 30.0)
+    world.until(lambda: len(leader.registry.shard_of_machine) == MACHINES, 30.0)
 
 
 # -- parts by themselves ---------------------------------------------------------------------
@@ -233,7 +233,7 @@
     world = large()
     world.until(lambda: bool(world.controllers[world.holder()].held), 5.0)
     (held,) = world.controllers[world.holder()].held.values()
-    assert isinstance(held.fencing, Fencing) and held.fencing.most == 240
+    assert isinstance(held.fencing, Fencing) and held.fencing.max_in_flight == 240
 
 
 def test_blocks_are_shared_out_many_machines_at_a_time() -> None:
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -90,7 +90,7 @@
     for n in range(number):
         if there and chance.random() < 0.4:
             gone = there.pop(chance.randrange(len(there)))
-            found.append(Left(gone.host, gone.piece, gone.attempt, "done"))
+            found.append(Left(gone.machine_id, gone.task_id, gone.attempt, "done"))
         elif chance.random() < 0.1:
             found.append(Reachable(chance.choice("ab"), chance.random() < 0.5))
         else:
@@ -264,7 +264,7 @@
     world.run(1.5)
     old = holder_of(world)
     held = next(iter(old.held.values()))
-    runs = {run.piece: run.attempt for run in held.runs()}
+    runs = {run.task_id: run.attempt for run in held.runs()}
     for label in others(world.holder()):
         replica = replica_of(world, label)
         assert replica is not None and on_machines(replica) == runs
@@ -274,7 +274,7 @@
     new = next(iter(holder_of(world).held.values()))
     assert new.corrections.factor("work") == pytest.approx(held.corrections.factor("work"), 1e-3)
     assert new.corrections.factor("work") > 1.0
-    assert all("other" in new.machines[run.host].images for run in held.runs())
+    assert all("other" in new.machines[run.machine_id].images for run in held.runs())
 
 
 @pytest.mark.parametrize("frozen", [False, True])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -51,7 +51,7 @@
         if key.startswith("live/block/"):
             record = decode_block(body)
             assert record.holder in LABELS and len(record.machines) > 0
-            assert all(entry.addr for entry in record.machines.values())
+            assert all(entry.address for entry in record.machines.values())
         elif key.startswith("live/job/"):
             assert msgspec.json.decode(body, type=JobRecord).task_count > 0
         elif key.startswith("live/session/"):
@@ -203,7 +203,7 @@
     small = BlockRecord("pulleyhand-0", "b" * 30, loose).encode(True, 1945)
     assert len(small) < 0.95 * 2048
     found = decode_block(small).machines
-    assert found.keys() == machines.keys() and not any(entry.addr for entry in found.values())
+    assert found.keys() == machines.keys() and not any(entry.address for entry in found.values())
     odd = ["a", "7", "vm-", "vm-1000000", "vm-0000001", "x" * 90 + "1", "vm-00000000000000000009"]
     addresses = [
         "",
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -191,15 +191,15 @@
     "job named by a submission": Kind(str, jobs.job_id_of, None),
     "stage": read_and_written(jobs.JobStatus),
     # Workers.
-    "report": Kind(workers.Report, workers.parse_report, None),
-    "orders": read_and_written(workers.Orders),
-    "direct": read_and_written(workers.Direct),
-    "foreman": read_and_written(workers.Foreman),
+    "report": Kind(workers.Heartbeat, workers.parse_heartbeat, None),
+    "orders": read_and_written(workers.HeartbeatResponse),
+    "direct": read_and_written(workers.DirectCommand),
+    "foreman": read_and_written(workers.Redirect),
     # Cloud.
     "catalog": read_and_written(fleet.Catalog),
     "rental request": read_and_written(fleet.RentalRequest),
-    "rental answer": read_only(fleet.RentalAnswer),
-    "release": read_and_written(fleet.Release),
+    "rental answer": read_only(fleet.RentalResponse),
+    "release": read_and_written(fleet.ReleaseRequest),
     "machine list": read_only(fleet.MachineList),
     # State service.
     "lease request": Kind(dict, json.loads, encode_lease_request),
