--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from fallpulley.blocks.messages import decode_block
+from fallpulley.blocks.messages import decode_shard
 from fallpulley.effects import Request
 from fallpulley.workers.checkins import DeferredHeartbeat
 from tests.test_day_end import replay, started
@@ -35,7 +35,7 @@
 def marked(world: World, host: str) -> bool:
     """The durable record says that the machine may hold tasks."""
     for record in world.blocks().values():
-        entry = decode_block(json.dumps(record).encode()).machines.get(host)
+        entry = decode_shard(json.dumps(record).encode()).machines.get(host)
         if entry is not None:
             return entry.occupied
     return False
@@ -85,28 +85,30 @@
     world.run(2.5)
     assert not world.running(uid)
     before = len(world.starts_seen)
-    assert uid in world.controllers[old].jobs.open_by_block[next(iter(world.controllers[old].held))]
-    world.controllers[old]._settle_job(uid)
+    assert (
+        uid in world.controllers[old].jobs.open_by_shard[next(iter(world.controllers[old].shards))]
+    )
+    world.controllers[old]._sync_job(uid)
     world.run(4.0)
     assert len(world.starts_seen) == before
     world.refused.clear()
     world.run(5.0)
-    assert not world.controllers[old]._called_off and stages(world, uid) == {"withdrawn"}
+    assert not world.controllers[old]._cancelled and stages(world, uid) == {"withdrawn"}
 
 
 def test_no_check_in_is_answered_once_the_window_is_over_even_if_it_came_before() -> None:
     """One that waited for the next plan was answered without another look at the clock."""
     world, _ = busy(8, 60.0)
     controller = world.controllers[world.holder()]
-    (held,) = controller.held.values()
+    (held,) = controller.shards.values()
     (host, machine) = next(iter(held.machines.items()))
     answers: list[int] = []
 
     def ticket(status: int, body: bytes, retry_after: float | None) -> None:
         answers.append(status)
 
-    controller.checkins.deferred.append(DeferredHeartbeat(ticket, held, machine, True, 0.0))
-    controller.view.fresh_at = controller.core.now - controller.core.window_s
+    controller.heartbeats.deferred.append(DeferredHeartbeat(ticket, held, machine, True, 0.0))
+    controller.watch.fresh_at = controller.context.now - controller.context.response_window_s
     world.step()
     assert answers == [503] and host in held.machines
 
@@ -220,19 +222,19 @@
     world.until(lambda: marked(world, host), 5.0)
     node = world.holder()
     controller = world.controllers[node]
-    writer, (label,) = controller.writer, controller.held
-    record, _ = controller.registry.blocks[label]
+    writer, (label,) = controller.writer, controller.shards
+    record, _ = controller.registry.shards[label]
     assert record.machines[host].occupied
-    writer.mark(label, host, False)
+    writer.set_occupied(label, host, False)
     world.unanswered[node] = 0.0  # carried out, unanswered, and not seen here for a while
-    controller.view.on_key = lambda key, value, stamp: None
+    controller.watch.on_key = lambda key, value, stamp: None
     world.until(lambda: not marked(world, host), 5.0)
     world.run(2.0)
     world.unanswered.clear()
-    writer.mark(label, host, True)
+    writer.set_occupied(label, host, True)
     for _ in range(120):
         world.step()
-        assert marked(world, host) or not writer.used(label, host)
+        assert marked(world, host) or not writer.is_occupied(label, host)
 
 
 def test_a_machine_up_at_once_gets_work_only_with_a_durable_mark_and_the_leader_ends() -> None:
@@ -276,7 +278,7 @@
     assert {found[0] for found in burst} == {201, 503} and world.state.too_many == 0
     world.run(15.0)
     for controller in world.controllers.values():
-        assert all(not held.jobs for held in controller.held.values())
+        assert all(not held.jobs for held in controller.shards.values())
         assert all(known.record is None for known in controller.jobs.entries.values())
 
 
@@ -399,12 +401,12 @@
     world, uid = busy(6, 15.0)
     first = world.holder()
     leadership = world.controllers[first].leadership
-    (label,) = world.controllers[first].held
-    leadership.give(label, others(first)[0])
+    (label,) = world.controllers[first].shards
+    leadership.hand_off(label, others(first)[0])
     world.until(lambda: world.holder() != first, 5.0)
     second = world.holder()
     world.run(0.5)
-    world.controllers[second].leadership.give(label, first)
+    world.controllers[second].leadership.hand_off(label, first)
     world.until(lambda: world.holder() == first, 5.0)
     world.crash(*LABELS)
     world.run(0.5)
@@ -428,7 +430,7 @@
     world.crash(old)
     world.until(lambda: world.holder() != old, 10.0)
     world.run(0.5)
-    held = next(iter(world.controllers[world.holder()].held.values()))
+    held = next(iter(world.controllers[world.holder()].shards.values()))
     world.until(lambda: bool(held.machines[dead].runs), 5.0)
     assert not held.machines[dead].online
     world.workers[dead].hung = True
@@ -484,7 +486,7 @@
     world.crash(old)
     world.until(lambda: world.holder() != old, 10.0)
     world.run(4.0)
-    held = next(iter(world.controllers[world.holder()].held.values()))
+    held = next(iter(world.controllers[world.holder()].shards.values()))
     before = (held.machines[host].agent_epoch, held.machines[host].sequence)
     assert replay(world, world.holder(), body) == [503]
     # As an answer of `/do` that was held up it is no news either.
@@ -513,7 +515,7 @@
     world, uid = busy(4, 6.0)
     host = next(iter(world.workers))
     worker = world.workers[host]
-    held = next(iter(world.controllers[world.holder()].held.values()))
+    held = next(iter(world.controllers[world.holder()].shards.values()))
     run = next(iter(held.machines[host].runs.values()))
     late = {
         "baton": held.machines[host].fencing_token,
@@ -532,7 +534,7 @@
 def test_a_check_in_overtaken_by_an_answer_of_do_still_gets_its_stops() -> None:
     """Its reply renews the lease; without the stops, a cancelled task could go on with it."""
     world, uid = busy(4, 300.0)
-    held = next(iter(world.controllers[world.holder()].held.values()))
+    held = next(iter(world.controllers[world.holder()].shards.values()))
     for host, machine in held.machines.items():
         machine.sequence += 60  # as if newer answers of `/do` had come before all its reports
         world.no_direct.add(host)
@@ -666,7 +668,7 @@
 def test_a_machine_whose_move_was_called_off_is_used_again() -> None:
     world = ready(2)
     controller = world.controllers[world.holder()]
-    (held,) = controller.held.values()
+    (held,) = controller.shards.values()
     machine = next(iter(held.machines.values()))
     machine.leaving_shard = True
     world.run(1.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,10 +8,10 @@
 
 from fallpulley.blocks.attempts import AttemptNumbers
 from fallpulley.blocks.fencing import Fencing
-from fallpulley.blocks.shares import machines_per_block
+from fallpulley.blocks.shares import machines_per_shard
 from fallpulley.blocks.silence import LeaseWatch
-from fallpulley.effects import ANSWER_TOO_LONG
-from fallpulley.mesh.counts import CountsInTurn
+from fallpulley.effects import RESPONSE_TOO_LONG
+from fallpulley.mesh.counts import TaskCountRotation
 from fallpulley.wire.server import BODY_MOST
 from tests.world import LABELS, STATE, World, job, settings
 
@@ -56,8 +56,8 @@
 
 def confirmed(world: World) -> bool:
     """Every machine of every block has shown its holder's token, or is proved empty."""
-    held = [h for controller in world.controllers.values() for h in controller.held.values()]
-    return bool(held) and all(not block.unconfirmed and block.loaded for block in held)
+    held = [h for controller in world.controllers.values() for h in controller.shards.values()]
+    return bool(held) and all(not block.unreconciled and block.progress_loaded for block in held)
 
 
 @pytest.mark.parametrize("limits", [{}, SMALLEST])
@@ -79,7 +79,7 @@
     assert changed.count(key) == 1 and not any("live/machines/" in name for name in changed)
     world.until(lambda: confirmed(world), 2.5 * REPORT_S)
     assert len(world.running()) == len(world.starts_seen) == 2 * MACHINES
-    (held,) = world.controllers[world.holder()].held.values()
+    (held,) = world.controllers[world.holder()].shards.values()
     assert sum(1 for _ in held.runs()) == 2 * MACHINES
 
 
@@ -112,7 +112,7 @@
     while world.now < until:
         world.step()
         for controller in world.controllers.values():
-            for held in controller.held.values():
+            for held in controller.shards.values():
                 asked |= {h for h, m in held.machines.items() if m.next_fence_at > 0}
                 whole_turn = whole_turn or set(lost) <= asked
     assert whole_turn
@@ -131,7 +131,7 @@
     world.crash("node-2")
     world.boot("node-2")
     world.until(lambda: "live/format" in world.state.data, 20.0)
-    world.until(lambda: all(c.core.parts_format for c in world.controllers.values()), 5.0)
+    world.until(lambda: all(c.context.paged_format for c in world.controllers.values()), 5.0)
     world.run(10.0)
     world.state.value_bytes, world.state.txn_ops = 2048, 4
     refused = world.state.refusals
@@ -166,7 +166,7 @@
     numbers = AttemptNumbers(100, bits=3)
     found = [numbers.next(100) for _ in range(7)]
     assert found == [(100 << 3) + n for n in range(1, 8)]
-    assert numbers.wants_stamp and numbers.next(100) is None
+    assert numbers.needs_new_revision and numbers.next(100) is None
     again = [numbers.next(stamp) for stamp in (130, 131, 132)]
     assert again == [(130 << 3) + n for n in range(1, 4)]
     assert numbers.first == 100 << 3
@@ -190,49 +190,49 @@
     """A heartbeat that named 3,000 jobs was longer than a body may be, and refused: its sender
     counted as gone."""
     counts = {f"job-{n:06d}": (n, n) for n in range(3000)}
-    turn = CountsInTurn()
+    turn = TaskCountRotation()
     told: set[str] = set()
     for beat in range(4):
         counts["job-002999"] = (beat, 1)
-        entries = turn.choose(counts)
+        entries = turn.next_entries(counts)
         assert sum(len(str(entry)) for entry in entries) < BODY_MOST
         told |= {job for job, _, _ in entries}
     assert len(told) == 3000
     counts["job-002999"] = (9, 9)
-    assert ("job-002999", 9, 9) in turn.choose(counts)
+    assert ("job-002999", 9, 9) in turn.next_entries(counts)
 
 
 def test_changes_too_many_for_one_answer_are_read_anew_by_pages() -> None:
     world = World(2)
     world.run(3.0)
     controller = world.controllers["node-1"]
-    assert controller.view.ready
+    assert controller.watch.ready
     (call,) = [c for c in pending_watches(world, "node-1")][:1]
-    call.done(ANSWER_TOO_LONG, b"", world.now)
-    assert not controller.view.loaded
-    world.until(lambda: controller.view.ready, 5.0)
-    assert controller.view.ledger == world.state.ledger
+    call.on_response(RESPONSE_TOO_LONG, b"", world.now)
+    assert not controller.watch.loaded
+    world.until(lambda: controller.watch.ready, 5.0)
+    assert controller.watch.revision == world.state.ledger
 
 
 def pending_watches(world: World, label: str) -> list[Any]:
     """A look at the changes that this controller is about to send."""
     controller = world.controllers[label]
-    controller.view._polling = False
-    controller.view._poll(world.now)
-    controller.core.state.pump(world.now)
-    effects, controller.core.effects[:] = list(controller.core.effects), []
+    controller.watch._watching = False
+    controller.watch._start_watch(world.now)
+    controller.context.state_client.send_queued(world.now)
+    effects, controller.context.outbox[:] = list(controller.context.outbox), []
     return [e for e in effects if getattr(e, "address", "") == STATE]
 
 
 def test_a_holder_carries_no_more_machines_than_it_has_sockets() -> None:
     limits = {"core_share": 1.0, "memory_mb": 400.0, "sockets": 1500}
-    assert machines_per_block(settings("node-0", machine_limits=limits).facts) == 1500
+    assert machines_per_shard(settings("node-0", machine_limits=limits).facts) == 1500
 
 
 def test_fences_take_their_part_of_the_sockets() -> None:
     world = large()
-    world.until(lambda: bool(world.controllers[world.holder()].held), 5.0)
-    (held,) = world.controllers[world.holder()].held.values()
+    world.until(lambda: bool(world.controllers[world.holder()].shards), 5.0)
+    (held,) = world.controllers[world.holder()].shards.values()
     assert isinstance(held.fencing, Fencing) and held.fencing.max_in_flight == 240
 
 
@@ -244,7 +244,7 @@
 
     def sizes() -> list[int]:
         registry = next(iter(world.controllers.values())).registry
-        return sorted(len(record.machines) for record, _ in registry.blocks.values())
+        return sorted(len(record.machines) for record, _ in registry.shards.values())
 
     world.until(lambda: len(sizes()) == 2 and sum(sizes()) == 400, 20.0)
     world.until(lambda: sizes()[0] >= 190, 40.0)
@@ -256,6 +256,6 @@
     world.run(5.0)
     writer = world.controllers[world.holder()].writer
     hosts = {f"{number:0190}" for number in range(100)}
-    out = writer._retirable(hosts)
-    (change,) = writer._retire(out)
+    out = writer._releasable(hosts)
+    (change,) = writer._release_record(out)
     assert out and set(out) < hosts and len(change.value or b"") < 0.5 * 2048
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -13,12 +13,12 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from fallpulley.blocks.messages import decode_block
+from fallpulley.blocks.messages import decode_shard
 from fallpulley.cli import main
 from fallpulley.effects import OperatorRequest
 from fallpulley.settings import SharesSettings, Team
 from fallpulley.shares.command import UsageError, parse_table, print_answer
-from fallpulley.shares.messages import SetShares, Share, SharesAnswer, ShareTable
+from fallpulley.shares.messages import SetShares, Share, SharesResponse, ShareTable
 from fallpulley.shares.policy import Policy, PolicyError, PolicyInput, check_expression, compiled
 from fallpulley.shares.table import (
     ConflictError,
@@ -149,7 +149,7 @@
         for event in events:
             key = event.get("set", "")
             if key.startswith("live/block/"):
-                record = decode_block(json.dumps(event["v"]).encode())
+                record = decode_shard(json.dumps(event["v"]).encode())
                 known = hosts.get(key, {})
                 hosts[key] = {host: known.get(host, stamp) for host in record.machines}
             elif key.startswith("live/retire/"):
@@ -184,7 +184,7 @@
 
 def sizes(world: World) -> dict[str, int]:
     return {
-        key[len("live/block/") :]: len(decode_block(json.dumps(record).encode()).machines)
+        key[len("live/block/") :]: len(decode_shard(json.dumps(record).encode()).machines)
         for key, record in world.blocks().items()
     }
 
@@ -227,7 +227,7 @@
     world.run(4.0)
     status, found = ask(world, "node-1", "GET")
     assert status == 200 and found["converged"] and found["blocks"][0]["target"] is None
-    print_answer(msgspec.convert(found, SharesAnswer), as_json=False)
+    print_answer(msgspec.convert(found, SharesResponse), as_json=False)
     (row,) = [line for line in capsys.readouterr().out.splitlines() if "converged" in line]
     assert row.split() == [found["blocks"][0]["block"], world.holder(), "-", "32", "4", "converged"]
 
@@ -374,7 +374,7 @@
     places = [
         host
         for record in world.blocks().values()
-        for host in decode_block(json.dumps(record).encode()).machines
+        for host in decode_shard(json.dumps(record).encode()).machines
     ]
     assert not set(places) & set(gone)
     check_history(world)
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -18,10 +18,10 @@
 from fallpulley.settings import load
 from fallpulley.standby import stream as stream_module
 from fallpulley.standby.entries import Entry, Left, Reachable, Released, Started
-from fallpulley.standby.follower import Follower, Holder
+from fallpulley.standby.follower import Follower, Owner
 from fallpulley.standby.messages import (
     FORMAT,
-    PACKED_MOST,
+    MAX_PACKED_BYTES,
     Acknowledgement,
     LogBatch,
     PayloadError,
@@ -56,7 +56,7 @@
 
 
 def replica_of(world: World, label: str) -> Replica | None:
-    followed = standby_of(world.controllers[label]).follower.blocks
+    followed = standby_of(world.controllers[label]).follower.shards
     return next((block.replica for block in followed.values()), None)
 
 
@@ -124,7 +124,7 @@
     stream, state = stream_over("block", token=20, most=12)
     stale, _ = stream_over("block", token=10, most=12)
     follower = Follower("node-1", lambda block: None)
-    follower.take(batch("node-9", token=20, last=0, entries=[]), 0.0)
+    follower.receive(batch("node-9", token=20, last=0, entries=[]), 0.0)
     flying: list[tuple[float, Any]] = []
     now = 0.0
     for step in range(400):
@@ -136,7 +136,7 @@
                 state[0] = apply(Replica("block", 20, 0, state[0]), 1, [entry]).state
                 stale.log._append(entry)
         if not quiet and chance.random() < 0.02:
-            follower = Follower("node-1", lambda block: Holder("node-0", "boot-20", 25))
+            follower = Follower("node-1", lambda block: Owner("node-0", "boot-20", 25))
         for _, message in [*stream.due(now), *stale.due(now)]:
             for _ in range(chance.choice([1, 1, 1, 2])):
                 if quiet or chance.random() >= loss:
@@ -147,13 +147,13 @@
             if isinstance(message, Acknowledgement):
                 stream.acknowledged(message)
                 continue
-            answer = follower.take(message, now)
+            answer = follower.receive(message, now)
             if message.token < 20:
                 assert isinstance(answer, Replaced) and answer.token >= 20
                 continue
             if answer is not None and (quiet or chance.random() >= loss):
                 flying.append((now + (0.0 if quiet else chance.random()), answer))
-    followed = follower.blocks["block"]
+    followed = follower.shards["block"]
     assert followed.replica is not None and followed.replica.token == 20
     assert followed.replica.last == stream.log.last and follower.lag(followed) == 0
     assert on_machines(followed.replica) == on_machines(Replica("block", 20, 0, state[0]))
@@ -172,10 +172,10 @@
             number += 1
             stream.log._append(Started("m0", f"job-000001/{number}", number))
         for _, message in stream.due(now):
-            answer = follower.take(message, now)
+            answer = follower.receive(message, now)
             assert isinstance(answer, Acknowledgement)
             stream.acknowledged(answer)
-    followed = follower.blocks["block"]
+    followed = follower.shards["block"]
     assert followed.replica is not None and stream.lags()["node-1"] <= 1000
 
 
@@ -184,12 +184,12 @@
     state = [Snapshot()]
 
     class Held:
-        label = block
-        taken_stamp = token
+        shard_id = block
+        acquired_revision = token
 
     limits = stream_module.Limits(0.2, most, 1e6)
     held: Any = Held()
-    stream = stream_module.BlockStream(held, "node-0", f"boot-{token}", ["node-1"], limits)
+    stream = stream_module.ShardStream(held, "node-0", f"boot-{token}", ["node-1"], limits)
 
     def parts(_: object) -> list[Snapshot]:
         whole = state[0]
@@ -215,7 +215,7 @@
     part = SnapshotPart(
         FORMAT, "node-0", "boot-5", "block", 5, 3, 0, 1, checksum_of(payload), payload
     )
-    answer = follower.take(part, 0.0)
+    answer = follower.receive(part, 0.0)
     assert isinstance(answer, Acknowledgement)
     assert (answer.last, answer.snapshot_part) == (3, -1)
     message = batch("node-0", 5, 4, [Started("a", "job-1/0", 1)], first=4)
@@ -232,18 +232,18 @@
     else:
         message.payload = pack([["started", 7]])
         message.checksum = checksum_of(message.payload)
-    answer = follower.take(message, 1.0)
+    answer = follower.receive(message, 1.0)
     assert sum(follower.dropped.values()) == 1
     if fault == "format":
         assert answer is None
     else:
         assert isinstance(answer, Acknowledgement) and answer.snapshot_part == 0
-        again = follower.take(part, 2.0)
+        again = follower.receive(part, 2.0)
         assert isinstance(again, Acknowledgement) and again.snapshot_part == -1
 
 
 def test_payloads_are_bounded_packed_and_unpacked() -> None:
-    noise = random.Random(3).randbytes(PACKED_MOST).hex()
+    noise = random.Random(3).randbytes(MAX_PACKED_BYTES).hex()
     payload = pack(noise)
     with pytest.raises(PayloadError, match="too large"):
         unpack(payload, checksum_of(payload))
@@ -263,7 +263,7 @@
     world.until(lambda: len(world.running(long)) == 5, 20.0)
     world.run(1.5)
     old = holder_of(world)
-    held = next(iter(old.held.values()))
+    held = next(iter(old.shards.values()))
     runs = {run.task_id: run.attempt for run in held.runs()}
     for label in others(world.holder()):
         replica = replica_of(world, label)
@@ -271,7 +271,7 @@
     world.crash(world.holder())
     world.until(lambda: world.holder() in world.controllers, 10.0)
     world.run(0.3)
-    new = next(iter(holder_of(world).held.values()))
+    new = next(iter(holder_of(world).shards.values()))
     assert new.corrections.factor("work") == pytest.approx(held.corrections.factor("work"), 1e-3)
     assert new.corrections.factor("work") > 1.0
     assert all("other" in new.machines[run.machine_id].images for run in held.runs())
@@ -296,9 +296,9 @@
         world.crash(old)
     world.until(lambda: world.holder() != old, FIVE_S)
     held_at = world.now
-    world.until(lambda: bool(holder_of(world).held), 1.0)
-    new = next(iter(holder_of(world).held.values()))
-    world.until(lambda: not new.unconfirmed, FIVE_S - (held_at - silent_at))
+    world.until(lambda: bool(holder_of(world).shards), 1.0)
+    new = next(iter(holder_of(world).shards.values()))
+    world.until(lambda: not new.unreconciled, FIVE_S - (held_at - silent_at))
     world.until(lambda: any(at > held_at for at, _, _ in world.starts_seen[before:]), 10.0)
     assert world.now - silent_at < FIVE_S + (REPORT_TIMEOUT_S - 2.0 if frozen else 0.0)
     if frozen:
@@ -321,14 +321,14 @@
     world.run(4.0)
     # What it decided before it froze and had not sent yet comes now, under its old token.
     log = next(iter(standby_of(world.controllers[old]).streams.values())).log
-    log.machine_marked("vm-000001", True)
+    log.machine_occupancy_changed("vm-000001", True)
     log.machine_released("vm-000001")
     third = next(label for label in others(old) if label != world.holder())
     world.paused.discard(old)
     world.run(3.0)
-    assert "replaced as holder" in caplog.text and not world.controllers[old].held
-    followed = next(iter(standby_of(world.controllers[third]).follower.blocks.values()))
-    assert followed.holder == world.holder() and followed.replica is not None
+    assert "replaced as holder" in caplog.text and not world.controllers[old].shards
+    followed = next(iter(standby_of(world.controllers[third]).follower.shards.values()))
+    assert followed.owner == world.holder() and followed.replica is not None
     assert "vm-000001" in followed.replica.state.machines
     assert standby_of(world.controllers[third]).follower.dropped.get("replaced", 0) > 0
     world.until(lambda: world.stage(long) == world.stage(more) == "done", 90.0)
@@ -365,7 +365,7 @@
     world.run(6.0)
     # The last word of the holder tells the stale one how far the other is.
     stream = next(iter(standby_of(world.controllers[old]).streams.values()))
-    followed = standby_of(world.controllers[stale]).follower.blocks[stream.held.label]
+    followed = standby_of(world.controllers[stale]).follower.shards[stream.shard.shard_id]
     followed.positions = {label: entry.last for label, entry in stream.positions.items()}
     assert followed.positions[fresh] > followed.positions[stale]
     world.crash(old, *([fresh] if gone else []))
@@ -414,7 +414,7 @@
     world.crash(late)
     world.run(0.5)
     world.boot(late)
-    blocks = standby_of(world.controllers[late]).follower.blocks
+    blocks = standby_of(world.controllers[late]).follower.shards
     world.until(lambda: any(b.assembly is not None for b in blocks.values()), 8.0)
     assert replica_of(world, late) is None
     world.crash(old, other)
@@ -490,7 +490,7 @@
     world.run(1.0)
     replica = replica_of(world, other)
     assert replica is not None and stream.log.last - replica.last <= 2
-    assert len(sent) <= (world.now - 100.0) / (0.2 * stream_module.SILENT_BATCHES) + 2
+    assert len(sent) <= (world.now - 100.0) / (0.2 * stream_module.UNRESPONSIVE_BATCHES) + 2
 
 
 @seed(7)
@@ -523,7 +523,7 @@
         world.paused.discard(victim)
         if victim not in world.controllers:
             world.boot(victim)
-        world.until(lambda: any(c.session.live() for c in world.controllers.values()), 20.0)
+        world.until(lambda: any(c.session.is_live() for c in world.controllers.values()), 20.0)
         world.run(2.0)
     world.link = lambda one, other, body: [0.0]
     world.until(lambda: all(world.stage(job) == "done" for job in jobs), 200.0)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from fallpulley.blocks.messages import decode_block
+from fallpulley.blocks.messages import decode_shard
 from tests.world import LABELS, World, job
 
 
@@ -26,7 +26,7 @@
 
 
 def machines_of(record: dict[str, Any]) -> list[str]:
-    return list(decode_block(json.dumps(record).encode()).machines)
+    return list(decode_shard(json.dumps(record).encode()).machines)
 
 
 def busy(pieces: int, seconds: float, expect_s: float = 4.0) -> tuple[World, str]:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from fallpulley.blocks.messages import BlockRecord, MachineEntry, Session, decode_block
+from fallpulley.blocks.messages import MachineEntry, Session, ShardRecord, decode_shard
 from fallpulley.jobs.messages import JobRecord
 from fallpulley.jobs.open import OpenJob, chunk_name, chunk_tasks, is_chunk_name, parse_chunk_name
 from fallpulley.mesh import messages as mesh
@@ -49,15 +49,15 @@
     for key, value in DATA["records"].items():
         body = json.dumps(value).encode()
         if key.startswith("live/block/"):
-            record = decode_block(body)
-            assert record.holder in LABELS and len(record.machines) > 0
+            record = decode_shard(body)
+            assert record.owner in LABELS and len(record.machines) > 0
             assert all(entry.address for entry in record.machines.values())
         elif key.startswith("live/job/"):
             assert msgspec.json.decode(body, type=JobRecord).task_count > 0
         elif key.startswith("live/session/"):
-            assert msgspec.json.decode(body, type=Session).format == 1
+            assert msgspec.json.decode(body, type=Session).record_format == 1
     for heartbeat in DATA["beats"]:
-        assert isinstance(mesh.decode(json.dumps(heartbeat).encode()), mesh.Heartbeat)
+        assert isinstance(mesh.decode(json.dumps(heartbeat).encode()), mesh.PeerHeartbeat)
     # One of a version to come is no message to us, and no failure.
     assert mesh.decode(b'["unheard_of",1,{}]') is None
 
@@ -193,16 +193,16 @@
         )
         for n in chance.sample(range(3000), 700)
     }
-    record = BlockRecord("pulleyhand-0", "b" * 30, machines)
+    record = ShardRecord("pulleyhand-0", "b" * 30, machines)
     assert len(record.encode(True, 1945)) < 0.95 * 2048
-    assert decode_block(record.encode(True, 1945)).machines == machines
+    assert decode_shard(record.encode(True, 1945)).machines == machines
     loose = {
         host: MachineEntry(f"10.{chance.randrange(255)}.0.9:{n * 37 % 9000}", "b", "z", True)
         for n, host in enumerate(machines)
     }
-    small = BlockRecord("pulleyhand-0", "b" * 30, loose).encode(True, 1945)
+    small = ShardRecord("pulleyhand-0", "b" * 30, loose).encode(True, 1945)
     assert len(small) < 0.95 * 2048
-    found = decode_block(small).machines
+    found = decode_shard(small).machines
     assert found.keys() == machines.keys() and not any(entry.address for entry in found.values())
     odd = ["a", "7", "vm-", "vm-1000000", "vm-0000001", "x" * 90 + "1", "vm-00000000000000000009"]
     addresses = [
@@ -217,7 +217,7 @@
     for name, addr in zip(odd, addresses, strict=True):
         record.machines[name] = MachineEntry(addr, "b", "z", False)
     for newer in (True, False):
-        assert decode_block(record.encode(newer, 16_000)).machines == record.machines
+        assert decode_shard(record.encode(newer, 16_000)).machines == record.machines
 
 
 def test_progress_values_tell_the_size_that_they_were_split_with() -> None:
@@ -247,7 +247,7 @@
     world = mixed([])
     uid = submit(world, 1, pieces=4)
     world.until(lambda: len(world.running(uid)) == 4, 20.0)
-    held = next(iter(world.controllers[world.holder()].held.values()))
+    held = next(iter(world.controllers[world.holder()].shards.values()))
     for number in range(9):
         held.jobs[uid].progress_revisions[f"{number}@64"] = 0
     world.until(lambda: world.stage(uid) == "done", 30.0)
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -112,7 +112,7 @@
     sender = client.StateClient("state:1", 1000.0, 1000.0, 16, calls.append)
     encoded = [client.Change(k, v and v.encode(), tenure) for k, v, tenure in changes]
     sender.write(client.Write(conditions, encoded, lambda status, ledger: None))
-    sender.pump(0.0)
+    sender.send_queued(0.0)
     (call,) = calls
     _, method, path, body, *_ = msgspec.structs.astuple(call)
     assert (method, path) == ("POST", "/txn")
@@ -128,22 +128,25 @@
         assert (method, path) == ("POST", "/leases")
         bodies.append(body)
 
-    core: Any = SimpleNamespace(
-        label="node-0", now=0.0, session_s=lease["life_ms"] / 1000, state=SimpleNamespace(read=read)
+    context: Any = SimpleNamespace(
+        controller_id="node-0",
+        now=0.0,
+        session_s=lease["life_ms"] / 1000,
+        state_client=SimpleNamespace(request=read),
     )
     watched: Any = SimpleNamespace(ready=True)
-    SessionLease(core, watched).tick()
+    SessionLease(context, watched).tick()
     return bodies[0]
 
 
-def encode_block(format_number: int) -> Callable[[blocks.BlockHead], bytes]:
+def encode_block(format_number: int) -> Callable[[blocks.ShardHeader], bytes]:
     """Writes a block's record in one of its formats."""
 
-    def encode(head: blocks.BlockHead) -> bytes:
-        record, versions = msgspec.structs.astuple(head)
+    def encode(header: blocks.ShardHeader) -> bytes:
+        record, versions = msgspec.structs.astuple(header)
         *fields, _ = msgspec.structs.astuple(record)
-        parts = {number: blocks.Part(version, {}) for number, version in versions.items()}
-        whole = blocks.BlockRecord(*[*fields, parts])
+        parts = {number: blocks.MachinePage(version, {}) for number, version in versions.items()}
+        whole = blocks.ShardRecord(*[*fields, parts])
         return whole.encode(format_number > 1, 16 * 1024)
 
     return encode
@@ -203,26 +206,26 @@
     "machine list": read_only(fleet.MachineList),
     # State service.
     "lease request": Kind(dict, json.loads, encode_lease_request),
-    "lease grant": read_only(blocks.Grant),
+    "lease grant": read_only(blocks.LeaseGrant),
     "transaction": Kind(list, decode_transaction, encode_transaction),
-    "transaction answer": read_only(client._TxnReply),
+    "transaction answer": read_only(client._TransactionResponse),
     "page": read_only(view._Page),
     "changes": read_only(view._Changes),
     "progress page": read_only(persistence._Page),
     "progress pair": read_only(persistence._Item),
     # Stored records.
     "session": read_and_written(blocks.Session),
-    "format mark": read_and_written(blocks.FormatMark),
-    "team home": read_and_written(blocks.TeamHome),
-    "retired": read_and_written(blocks.Retired),
+    "format mark": read_and_written(blocks.FormatMarker),
+    "team home": read_and_written(blocks.TeamShard),
+    "retired": read_and_written(blocks.ReleaseRecord),
     "job record": read_and_written(jobs.JobRecord),
     "progress": read_and_written(jobs.Progress),
-    "block, format 1": Kind(blocks.BlockHead, blocks.decode_head, encode_block(1)),
-    "block, format 2": Kind(blocks.BlockHead, blocks.decode_head, encode_block(2)),
-    "block, format 3": Kind(blocks.BlockHead, blocks.decode_head, encode_block(3)),
-    "block part": Kind(blocks.Part, blocks.decode_part, blocks.encode_part),
-    "block, outside": read_and_written(blocks._BlockWire),
-    "block part, outside": read_and_written(blocks._PartWire),
+    "block, format 1": Kind(blocks.ShardHeader, blocks.decode_shard_header, encode_block(1)),
+    "block, format 2": Kind(blocks.ShardHeader, blocks.decode_shard_header, encode_block(2)),
+    "block, format 3": Kind(blocks.ShardHeader, blocks.decode_shard_header, encode_block(3)),
+    "block part": Kind(blocks.MachinePage, blocks.decode_page, blocks.encode_page),
+    "block, outside": read_and_written(blocks._StoredShard),
+    "block part, outside": read_and_written(blocks._StoredPage),
     "machines by groups": Kind(dict, packing.unpack_groups, packing.pack_groups),
     "machines by runs": Kind(dict, packing.unpack_runs, packing.pack_runs),
     "group of machines": read_and_written(packing._Group),
@@ -231,8 +234,8 @@
     "intent": read_and_written(duties.Intent),
     "share table": read_and_written(shares.ShareTable),
     # Between controllers.
-    "heartbeat": one_of(mesh.Heartbeat, mesh.decode),
-    "called off": one_of(mesh.CalledOff, mesh.decode),
+    "heartbeat": one_of(mesh.PeerHeartbeat, mesh.decode),
+    "called off": one_of(mesh.Cancellations, mesh.decode),
     "log batch": Kind(standby.LogBatch, standby.decode, standby.encode),
     "snapshot part": Kind(standby.SnapshotPart, standby.decode, standby.encode),
     "acknowledgement": Kind(standby.Acknowledgement, standby.decode, standby.encode),
@@ -253,8 +256,8 @@
     "entry cached": one_of(entries.Cached, decode_entry),
     # Operators.
     "shares request": read_and_written(shares.SetShares),
-    "shares answer": read_and_written(shares.SharesAnswer),
-    "shares error": read_and_written(shares.ErrorAnswer),
+    "shares answer": read_and_written(shares.SharesResponse),
+    "shares error": read_and_written(shares.ErrorResponse),
     # Settings.
     "settings": Kind(settings.Settings, load_settings, None),
     "operators": Kind(settings.Operators, load_operators, None),
--- a/tests/world.py
+++ b/tests/world.py
@@ -16,7 +16,7 @@
 from msgspec import convert
 
 from fallpulley.controller import Controller
-from fallpulley.effects import Answer, Call, Command, PeerMessage, Request, Result
+from fallpulley.effects import CallCompleted, Command, HttpCall, PeerMessage, Request, SendResponse
 from fallpulley.settings import Settings
 
 STEP = 0.05
@@ -381,7 +381,7 @@
         self.boots = 0
         self.cut: set[tuple[str, str]] = set()  # (from, to), hosts, labels, "state", "cloud"
         self.commands: dict[str, list[Command]] = {label: [] for label in LABELS}
-        self.polls: list[tuple[float, str, int, Call]] = []
+        self.polls: list[tuple[float, str, int, HttpCall]] = []
         self.later: list[tuple[float, Callable[[], None]]] = []
         self.cancelled_at: dict[str, float] = {}
         self.broken: list[str] = []
@@ -438,7 +438,7 @@
         made = settings(label, self.operators if operators is None else operators, **self.facts)
         self.controllers[label] = Controller(made, f"boot-{self.boots}", lambda: self.now)
         if older:
-            self.controllers[label].session.format = 1
+            self.controllers[label].session.record_format = 1
 
     def crash(self, *labels: str) -> None:
         for label in labels:
@@ -531,13 +531,13 @@
         self.until(lambda: bool(found), 5.0)
         return tuple(found)
 
-    def _call(self, label: str, call: Call) -> None:
+    def _call(self, label: str, call: HttpCall) -> None:
         sent_at = self.now * self.clock_rate.get(label, 1.0)
 
         def back(status: int | None, body: bytes) -> None:
             controller = self.controllers.get(label)
             if controller is not None and controller is caller:
-                self.commands[label].append(Result(call.done, status, body, sent_at))
+                self.commands[label].append(CallCompleted(call.on_response, status, body, sent_at))
 
         caller = self.controllers[label]
         if call.address == STATE:
@@ -562,7 +562,7 @@
                 else:
                     self.later.append((self.now + wait_s, lambda: back(status, _json(answer))))
         elif call.address == CLOUD:
-            sender = f"{label} {caller.core.boot}"
+            sender = f"{label} {caller.context.incarnation}"
             late_s = self.cloud_late.get(label, 0.0)
             if self.blocked(label, "cloud"):
                 self.later.append((self.now + call.timeout_s, lambda: back(None, b"")))
@@ -605,10 +605,10 @@
         """Whether a machine that reported with one token may get tasks under another."""
         return reported >= max(stamp for stamp in self.tenures if stamp <= answered)
 
-    def _carry_out(self, call: Call) -> None:
+    def _carry_out(self, call: HttpCall) -> None:
         self.state.handle(call.method, call.path, call.body, self.now)
 
-    def _watch(self, label: str, call: Call, back: Callable[[int | None, bytes], None]) -> None:
+    def _watch(self, label: str, call: HttpCall, back: Callable[[int | None, bytes], None]) -> None:
         query = call.path.partition("?")[2]
         args = dict(part.partition("=")[::2] for part in query.split("&"))
         self.state.requests += 1
@@ -633,7 +633,9 @@
 
         self.later.append((self.now + self.step_s + self.slow_s, look))
 
-    def _to_worker(self, label: str, call: Call, back: Callable[[int | None, bytes], None]) -> None:
+    def _to_worker(
+        self, label: str, call: HttpCall, back: Callable[[int | None, bytes], None]
+    ) -> None:
         worker = self.by_addr.get(call.address)
         if worker is not None and worker.host not in self.workers:
             worker = None  # released
@@ -644,7 +646,7 @@
         status, answer = worker.direct(json.loads(call.body or b"{}"))
         self.later.append((self.now + self.step_s, lambda: back(status, _json(answer))))
 
-    def _carry_out_late(self, call: Call, sender: str) -> None:
+    def _carry_out_late(self, call: HttpCall, sender: str) -> None:
         self._cloud(call, sender)
 
     def _in_use(self, host: str) -> bool:
@@ -659,7 +661,7 @@
         in_use = [host for host in hosts if not name and self._in_use(host)]
         self.actions.append(CloudAction(self.now, self.state.ledger, sender, name, hosts, in_use))
 
-    def _cloud(self, call: Call, sender: str = "") -> tuple[int, Any]:
+    def _cloud(self, call: HttpCall, sender: str = "") -> tuple[int, Any]:
         body = json.loads(call.body) if call.body else {}
         if self.cloud_down:
             return 503, {"error": "trouble"}
@@ -719,8 +721,8 @@
             now = self.now * self.clock_rate.get(label, 1.0)
             wall = 1e6 + self.now + self.wall_ahead.get(label, 0.0)
             for effect in controller.step(batch, now, wall):
-                if isinstance(effect, Answer):
-                    effect.ticket(effect.status, effect.body, effect.retry_after)
+                if isinstance(effect, SendResponse):
+                    effect.pending_response(effect.status, effect.body, effect.retry_after)
                 else:
                     self._call(label, effect)
         for told, at in self.cancelled_at.items():
