--- a/fallpulley/blocks/balance.py
+++ b/fallpulley/balancing/balancer.py
@@ -4,16 +4,16 @@
 
 import logging
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.leadership import Leadership
-from fallpulley.blocks.registry import Registry
-from fallpulley.blocks.session import SessionLease
-from fallpulley.blocks.shares import target_sizes
-from fallpulley.blocks.writer import ShardWriter
-from fallpulley.core import ControllerContext
+from fallpulley.balancing.shard_sizes import target_sizes
+from fallpulley.context import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.service import JobService
+from fallpulley.membership.leadership import Leadership
+from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.peers import Peers
+from fallpulley.records.registry import Registry
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.shard import Shard
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/capacity.py
+++ b/fallpulley/capacity.py
@@ -2,7 +2,11 @@
 
 from __future__ import annotations
 
-from fallpulley.blocks.shares import HEARTBEAT_CPU_SECONDS, HEARTBEAT_CPU_SHARE, machines_per_shard
+from fallpulley.balancing.shard_sizes import (
+    HEARTBEAT_CPU_SECONDS,
+    HEARTBEAT_CPU_SHARE,
+    machines_per_shard,
+)
 from fallpulley.settings import SERVE_SHARE, Settings
 
 # What a controller was measured to need, on simulated machines. Processor time from its start to
--- a/fallpulley/cli.py
+++ b/fallpulley/cli.py
@@ -10,7 +10,7 @@
 
 from fallpulley import __version__
 from fallpulley.capacity import shortages, shortages_for
-from fallpulley.exits import BAD_SETTINGS, EXPLAINED, FAILED, OK
+from fallpulley.exit_codes import BAD_SETTINGS, EXPLAINED, FAILED, OK
 from fallpulley.settings import Settings, SettingsError, load
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
--- a/fallpulley/core.py
+++ b/fallpulley/context.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from fallpulley.effects import Effect, HttpCall, ResponseHandler, SendResponse
-from fallpulley.formats import COMPACT_FORMAT, PAGED_FORMAT
+from fallpulley.records.formats import COMPACT_FORMAT, PAGED_FORMAT
 from fallpulley.settings import Settings
 from fallpulley.state.client import StateClient
 
--- a/fallpulley/controller.py
+++ b/fallpulley/controller.py
@@ -9,29 +9,29 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from fallpulley.blocks.balance import ShardBalancer
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.leadership import Leadership
-from fallpulley.blocks.marks import OccupancyFlags
-from fallpulley.blocks.messages import PreviousOwner
-from fallpulley.blocks.registry import FORMAT_KEY, SESSION_PREFIX, SHARES_KEY, Registry
-from fallpulley.blocks.session import SessionLease
-from fallpulley.blocks.shares import change_share
-from fallpulley.blocks.writer import ShardWriter
-from fallpulley.core import ControllerContext
+from fallpulley.balancing.balancer import ShardBalancer
+from fallpulley.balancing.shard_sizes import change_share
+from fallpulley.context import ControllerContext
 from fallpulley.effects import CallCompleted, Command, Effect, OperatorRequest, PeerMessage, Request
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.messages import JobState
 from fallpulley.jobs.persistence import JobPersistence
 from fallpulley.jobs.service import JOB_PREFIX, JobEntry, JobService
-from fallpulley.mesh.counts import TaskCountRotation
+from fallpulley.membership.leadership import Leadership
+from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.messages import Cancellations, MachineRequest
 from fallpulley.mesh.peers import HEARTBEAT_SECONDS, Peers
+from fallpulley.mesh.task_counts import TaskCountRotation
 from fallpulley.placement.planner import Planner
+from fallpulley.records.registry import FORMAT_KEY, SESSION_PREFIX, SHARES_KEY, Registry
+from fallpulley.records.shard_record import PreviousOwner
+from fallpulley.records.writer import ShardWriter
 from fallpulley.settings import Settings
-from fallpulley.state.view import WatchCache
-from fallpulley.workers.checkins import HeartbeatHandler
+from fallpulley.shards.occupancy import OccupancyFlags
+from fallpulley.shards.shard import Shard
+from fallpulley.state.watch_cache import WatchCache
+from fallpulley.workers.heartbeats import HeartbeatHandler
 
 if TYPE_CHECKING:
     from fallpulley.duties.service import DutiesService
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -11,12 +11,7 @@
 
 import msgspec
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.leadership import Leadership
-from fallpulley.blocks.registry import LEADER_KEY, SHARD_PREFIX, Registry
-from fallpulley.blocks.session import SessionLease
-from fallpulley.core import ControllerContext
-from fallpulley.duties.board import DutyRegistry
+from fallpulley.context import ControllerContext
 from fallpulley.duties.messages import (
     CLEANING,
     DUTIES,
@@ -32,10 +27,15 @@
     duty_key,
     intent_key,
 )
+from fallpulley.duties.registry import DutyRegistry
 from fallpulley.fleet.messages import RentalRequest
 from fallpulley.fleet.provider import MachineProvider
+from fallpulley.membership.leadership import Leadership
+from fallpulley.membership.session import SessionLease
+from fallpulley.records.registry import LEADER_KEY, SHARD_PREFIX, Registry
+from fallpulley.shards.shard import Shard
 from fallpulley.state.client import Change, RequestPriority, Write
-from fallpulley.state.view import WatchCache
+from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -4,15 +4,15 @@
 
 import logging
 
-from fallpulley.blocks.held import FAULTY_MACHINE_JOBS, Shard
-from fallpulley.blocks.registry import Registry
-from fallpulley.blocks.writer import ShardWriter
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.fleet.demand import demand_groups
 from fallpulley.fleet.messages import MachineType
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.fleet.sizing import DemandGroup, SizingPlan, SupplyUnit, size_fleet
 from fallpulley.mesh.messages import MachineRequest
+from fallpulley.records.registry import Registry
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.shard import FAULTY_MACHINE_JOBS, Shard
 from fallpulley.workers.machine import Machine
 
 log = logging.getLogger(__name__)
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from fallpulley.blocks.held import Shard
 from fallpulley.fleet.messages import MachineType
 from fallpulley.fleet.sizing import DemandGroup
 from fallpulley.jobs.messages import JobKind
-from fallpulley.jobs.open import OpenJob
+from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.estimate import remaining_run_time
 from fallpulley.placement.plan import URGENT_PRIORITY_LEVEL
+from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import capacity_of
 
 
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -8,12 +8,9 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import MachineEntry
-from fallpulley.blocks.registry import CATALOG_KEY, Registry
-from fallpulley.blocks.writer import ShardWriter
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.effects import ResponseHandler
-from fallpulley.fleet.gate import ActionGuard, PermitAll
+from fallpulley.fleet.action_guard import ActionGuard, PermitAll
 from fallpulley.fleet.messages import (
     LIST_PAGE_SIZE,
     MAX_RELEASED_MACHINES,
@@ -26,8 +23,11 @@
     RentalRequest,
     RentalResponse,
 )
+from fallpulley.records.registry import CATALOG_KEY, Registry
+from fallpulley.records.shard_record import MachineEntry
+from fallpulley.records.writer import ShardWriter
 from fallpulley.state.client import Change, RequestPriority, TokenBucket, Write
-from fallpulley.state.view import WatchCache
+from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from fallpulley.blocks.held import Shard
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.jobs.messages import JOB_ID, JobRecord, JobState, Progress
-from fallpulley.jobs.open import OpenJob, chunk_name, chunk_tasks, is_chunk_name
+from fallpulley.jobs.open_job import OpenJob, chunk_name, chunk_tasks, is_chunk_name
 from fallpulley.jobs.service import JOB_PREFIX, JobEntry
+from fallpulley.shards.shard import Shard
 from fallpulley.state.client import Change, RequestPriority, Write
 
 log = logging.getLogger(__name__)
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -9,9 +9,7 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import TeamShard
-from fallpulley.blocks.registry import TEAM_PREFIX, Registry
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.jobs.messages import (
     FINAL_STATES,
     JOB_ID,
@@ -26,9 +24,11 @@
     parse_submission,
 )
 from fallpulley.jobs.pipelines import DependencyNode, Pipelines
+from fallpulley.records.registry import TEAM_PREFIX, Registry
+from fallpulley.records.shard_record import TeamShard
 from fallpulley.settings import Team
 from fallpulley.state.client import Change, RequestPriority, Write
-from fallpulley.state.view import WatchCache
+from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/blocks/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -8,20 +8,20 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import FormatMarker, PreviousOwner, Session, ShardRecord
-from fallpulley.blocks.registry import (
+from fallpulley.balancing.shard_sizes import FULL_RECORD_SHARE, machines_per_shard, shards_needed
+from fallpulley.context import ControllerContext
+from fallpulley.membership.session import SessionLease
+from fallpulley.records.formats import NEWEST_FORMAT
+from fallpulley.records.registry import (
     FORMAT_KEY,
     LEADER_KEY,
     SESSION_PREFIX,
     SHARD_PREFIX,
     Registry,
 )
-from fallpulley.blocks.session import SessionLease
-from fallpulley.blocks.shares import FULL_RECORD_SHARE, machines_per_shard, shards_needed
-from fallpulley.core import ControllerContext
-from fallpulley.formats import NEWEST_FORMAT
+from fallpulley.records.shard_record import FormatMarker, PreviousOwner, Session, ShardRecord
 from fallpulley.state.client import Change, RequestPriority, Write
-from fallpulley.state.view import WatchCache
+from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/blocks/session.py
+++ b/fallpulley/membership/session.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import LeaseGrant, Session
-from fallpulley.core import ControllerContext
-from fallpulley.formats import NEWEST_FORMAT
+from fallpulley.context import ControllerContext
+from fallpulley.records.formats import NEWEST_FORMAT
+from fallpulley.records.shard_record import LeaseGrant, Session
 from fallpulley.state.client import Change, RequestPriority, Write
-from fallpulley.state.view import WatchCache
+from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.mesh.messages import (
     Cancellations,
     MachineRequest,
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.registry import Registry
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.jobs.service import JobService
 from fallpulley.placement.queue import plan_shard
+from fallpulley.records.registry import Registry
+from fallpulley.shards.shard import Shard
 
 # The next plan waits so many times what the last one took: a twentieth of the time is for
 # planning. Where that would be longer than a part of a report interval, room would stand idle for
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -6,12 +6,10 @@
 
 import msgspec
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.registry import Registry
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.fleet.messages import MachineType
 from fallpulley.jobs.messages import JobKind
-from fallpulley.jobs.open import OpenJob
+from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.estimate import remaining_run_time
 from fallpulley.placement.plan import (
     URGENT_PRIORITY_LEVEL,
@@ -28,7 +26,9 @@
     remaining_time,
 )
 from fallpulley.placement.preempt import Preemption, Victim, choose_victims
+from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
+from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine, capacity_of
 from fallpulley.workers.messages import TaskState
 
--- a/fallpulley/blocks/layout.py
+++ b/fallpulley/records/record_update.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import MachinePage, ShardRecord, encode_page
-from fallpulley.blocks.packing import MachineEntry, Machines, without_addresses
-from fallpulley.blocks.registry import SHARD_PREFIX, page_key
+from fallpulley.records.machine_encoding import MachineEntry, Machines, without_addresses
+from fallpulley.records.registry import SHARD_PREFIX, page_key
+from fallpulley.records.shard_record import MachinePage, ShardRecord, encode_page
 from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change
 
 # A record with more machines is laid out in parts: every controller decodes all of a value at each
--- a/fallpulley/blocks/registry.py
+++ b/fallpulley/records/registry.py
@@ -8,7 +8,9 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import (
+from fallpulley.fleet.messages import Catalog, MachineType
+from fallpulley.records.machine_encoding import entry_cache
+from fallpulley.records.shard_record import (
     FormatMarker,
     MachinePage,
     PreviousOwner,
@@ -20,8 +22,6 @@
     decode_page,
     decode_shard_header,
 )
-from fallpulley.blocks.packing import entry_cache
-from fallpulley.fleet.messages import Catalog, MachineType
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/blocks/messages.py
+++ b/fallpulley/records/shard_record.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fallpulley.blocks.packing import (
+from fallpulley.records.machine_encoding import (
     MachineEntry,
     Machines,
     pack_groups,
--- a/fallpulley/blocks/writer.py
+++ b/fallpulley/records/writer.py
@@ -6,17 +6,17 @@
 
 import msgspec
 
-from fallpulley.blocks.layout import RecordLimits, RecordUpdate, ShardChange, update_record
-from fallpulley.blocks.messages import MachineEntry, Machines, ReleaseRecord, ShardRecord
-from fallpulley.blocks.registry import RELEASE_PREFIX, SHARD_PREFIX, Registry
-from fallpulley.blocks.shares import (
+from fallpulley.balancing.shard_sizes import (
     COMPACT_ENTRY_BYTES,
     FIRST_FORMAT_ENTRY_BYTES,
     FULL_RECORD_SHARE,
 )
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
+from fallpulley.records.record_update import RecordLimits, RecordUpdate, ShardChange, update_record
+from fallpulley.records.registry import RELEASE_PREFIX, SHARD_PREFIX, Registry
+from fallpulley.records.shard_record import MachineEntry, Machines, ReleaseRecord, ShardRecord
 from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change, RequestPriority, Write
-from fallpulley.state.view import WatchCache
+from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/blocks/commands.py
+++ b/fallpulley/shards/commands.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from fallpulley.jobs.messages import JobKind, parse_task_id
-from fallpulley.jobs.open import OpenJob
+from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import (
@@ -23,7 +23,7 @@
 )
 
 if TYPE_CHECKING:
-    from fallpulley.blocks.held import Shard
+    from fallpulley.shards.shard import Shard
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/blocks/fencing.py
+++ b/fallpulley/shards/fencing.py
@@ -5,11 +5,11 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from fallpulley.blocks.packing import MachineEntry
+from fallpulley.records.machine_encoding import MachineEntry
 from fallpulley.workers.machine import Machine
 
 if TYPE_CHECKING:
-    from fallpulley.blocks.held import Shard
+    from fallpulley.shards.shard import Shard
 
 # Of the machine's sockets, those that fences may take at once: a block of thousands of machines is
 # asked in bursts that leave sockets and time for everybody else.
--- a/fallpulley/blocks/intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from fallpulley.jobs.messages import JobKind, parse_task_id
-from fallpulley.jobs.open import OpenJob
+from fallpulley.jobs.open_job import OpenJob
 from fallpulley.workers.machine import HeartbeatChanges, Machine, TaskRun, apply_heartbeat
 from fallpulley.workers.messages import START_REFUSALS, ExitReason, Heartbeat, TaskState, TaskStatus
 
 if TYPE_CHECKING:
-    from fallpulley.blocks.held import Shard
+    from fallpulley.shards.shard import Shard
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/blocks/marks.py
+++ b/fallpulley/shards/occupancy.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.writer import ShardWriter
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 
 # Machines compared at once by the clock: about a millisecond of a whole core.
--- a/fallpulley/blocks/held.py
+++ b/fallpulley/shards/shard.py
@@ -10,19 +10,19 @@
 import logging
 from collections.abc import Iterator
 
-from fallpulley.blocks.attempts import AttemptNumbers
-from fallpulley.blocks.commands import MachineCommands
-from fallpulley.blocks.decisions import IGNORED_DECISIONS, DecisionSink
-from fallpulley.blocks.fencing import Fencing
-from fallpulley.blocks.intake import HeartbeatIntake
-from fallpulley.blocks.messages import MachineEntry, ShardRecord
-from fallpulley.blocks.silence import LeaseWatch
-from fallpulley.core import CLOCK_DRIFT, ControllerContext
+from fallpulley.context import CLOCK_DRIFT, ControllerContext
 from fallpulley.jobs.messages import JobKind, JobRecord
-from fallpulley.jobs.open import OpenJob
+from fallpulley.jobs.open_job import OpenJob
 from fallpulley.jobs.pipelines import DependencyNode
 from fallpulley.placement.estimate import Corrections, run_estimate
 from fallpulley.placement.plan import Booking
+from fallpulley.records.shard_record import MachineEntry, ShardRecord
+from fallpulley.shards.attempt_numbers import AttemptNumbers
+from fallpulley.shards.commands import MachineCommands
+from fallpulley.shards.decisions import IGNORED_DECISIONS, DecisionSink
+from fallpulley.shards.fencing import Fencing
+from fallpulley.shards.heartbeat_intake import HeartbeatIntake
+from fallpulley.shards.lease_watch import LeaseWatch
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import TaskState
 
--- a/fallpulley/shares/command.py
+++ b/fallpulley/shares/command.py
@@ -10,7 +10,7 @@
 import anyio
 import msgspec
 
-from fallpulley.exits import CONFLICT, FAILED, OK, REFUSED, UNREACHABLE, USAGE
+from fallpulley.exit_codes import CONFLICT, FAILED, OK, REFUSED, UNREACHABLE, USAGE
 from fallpulley.settings import split_address
 from fallpulley.shares.messages import ErrorResponse, SetShares, Share, SharesResponse
 from fallpulley.wire.client import Client
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.registry import Registry
-from fallpulley.blocks.writer import ShardWriter
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
+from fallpulley.records.registry import Registry
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.shard import Shard
 from fallpulley.shares.messages import ShareTable
 from fallpulley.shares.table import Move, moves, targets
 from fallpulley.state.client import TokenBucket
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -7,14 +7,14 @@
 
 import msgspec
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.leadership import Leadership
-from fallpulley.blocks.registry import SHARES_KEY, Registry
-from fallpulley.blocks.session import SessionLease
-from fallpulley.blocks.writer import ShardWriter
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.effects import OperatorRequest
 from fallpulley.jobs.service import JobService
+from fallpulley.membership.leadership import Leadership
+from fallpulley.membership.session import SessionLease
+from fallpulley.records.registry import SHARES_KEY, Registry
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.shard import Shard
 from fallpulley.shares.messages import (
     CONTROLLER_ABSENT,
     CONVERGED,
@@ -38,7 +38,7 @@
     done_before,
 )
 from fallpulley.state.client import Change, RequestPriority, Write
-from fallpulley.state.view import WatchCache
+from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -5,9 +5,9 @@
 import logging
 from collections.abc import Callable
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.registry import Registry
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
+from fallpulley.records.registry import Registry
+from fallpulley.shards.shard import Shard
 from fallpulley.standby.follower import Followed, Follower, Owner
 from fallpulley.standby.messages import (
     Acknowledgement,
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fallpulley.blocks.held import Shard
+from fallpulley.shards.shard import Shard
 from fallpulley.standby.entries import (
     Cached,
     ClassLearned,
--- a/fallpulley/standby/takeover.py
+++ b/fallpulley/standby/takeover.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from fallpulley.blocks.held import Shard
+from fallpulley.shards.shard import Shard
 from fallpulley.standby.replica import MachineCopy, Replica
 from fallpulley.workers.machine import Machine
 
--- a/fallpulley/workers/checkins.py
+++ b/fallpulley/workers/heartbeats.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.leadership import Leadership
-from fallpulley.blocks.registry import Registry
-from fallpulley.blocks.writer import ShardWriter
-from fallpulley.core import ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.state.view import WatchCache
+from fallpulley.membership.leadership import Leadership
+from fallpulley.records.registry import Registry
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.shard import Shard
+from fallpulley.state.watch_cache import WatchCache
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import (
     Heartbeat,
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import MachineEntry
 from fallpulley.fleet.messages import MachineType
 from fallpulley.placement.plan import MachineSnapshot
+from fallpulley.records.shard_record import MachineEntry
 from fallpulley.workers.messages import Heartbeat, TaskState, TaskStatus
 
 # Tasks after which a machine's own run times count as much as the assumption that it is like
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from fallpulley.blocks.balance import ShardBalancer
-from fallpulley.blocks.held import Shard
-from fallpulley.blocks.marks import OccupancyFlags
-from fallpulley.blocks.messages import MachineEntry
+from fallpulley.balancing.balancer import ShardBalancer
 from fallpulley.placement.queue import machine_snapshots
+from fallpulley.records.shard_record import MachineEntry
+from fallpulley.shards.occupancy import OccupancyFlags
+from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 from tests.test_stories import busy
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from fallpulley.blocks.shares import (
+from fallpulley.balancing.shard_sizes import (
     change_share,
     machines_per_shard,
     shards_needed,
@@ -19,7 +19,7 @@
 from fallpulley.fleet.messages import MachineType
 from fallpulley.fleet.sizing import DemandGroup, SupplyUnit, size_fleet
 from fallpulley.jobs.messages import JobRecord, parse_submission
-from fallpulley.jobs.open import OpenJob, chunk_tasks
+from fallpulley.jobs.open_job import OpenJob, chunk_tasks
 from fallpulley.settings import SettingsError, load
 from fallpulley.state.client import Change, RequestPriority, StateClient, TokenBucket, Write
 from fallpulley.wire.limit import AdaptiveLimit
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,7 +10,8 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from fallpulley.blocks.layout import (
+from fallpulley.records.machine_encoding import EntryCache
+from fallpulley.records.record_update import (
     MAX_MERGED_MACHINES,
     MAX_PAGE_MACHINES,
     MAX_SINGLE_VALUE_MACHINES,
@@ -19,9 +20,8 @@
     ShardChange,
     update_record,
 )
-from fallpulley.blocks.messages import MachineEntry, ShardRecord, decode_shard, encode_page
-from fallpulley.blocks.packing import EntryCache
-from fallpulley.blocks.registry import Registry, page_key
+from fallpulley.records.registry import Registry, page_key
+from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard, encode_page
 
 SMALL = RecordLimits(True, True, 1945, 4)  # values of 2 KiB, the smallest transactions
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from fallpulley.blocks.messages import decode_shard
 from fallpulley.effects import Request
-from fallpulley.workers.checkins import DeferredHeartbeat
+from fallpulley.records.shard_record import decode_shard
+from fallpulley.workers.heartbeats import DeferredHeartbeat
 from tests.test_day_end import replay, started
 from tests.test_stories import busy, others, ready, submit
 from tests.world import LABELS, World, job
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from fallpulley.blocks.attempts import AttemptNumbers
-from fallpulley.blocks.fencing import Fencing
-from fallpulley.blocks.shares import machines_per_shard
-from fallpulley.blocks.silence import LeaseWatch
+from fallpulley.balancing.shard_sizes import machines_per_shard
 from fallpulley.effects import RESPONSE_TOO_LONG
-from fallpulley.mesh.counts import TaskCountRotation
+from fallpulley.mesh.task_counts import TaskCountRotation
+from fallpulley.shards.attempt_numbers import AttemptNumbers
+from fallpulley.shards.fencing import Fencing
+from fallpulley.shards.lease_watch import LeaseWatch
 from fallpulley.wire.server import BODY_MOST
 from tests.world import LABELS, STATE, World, job, settings
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -13,9 +13,9 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from fallpulley.blocks.messages import decode_shard
 from fallpulley.cli import main
 from fallpulley.effects import OperatorRequest
+from fallpulley.records.shard_record import decode_shard
 from fallpulley.settings import SharesSettings, Team
 from fallpulley.shares.command import UsageError, parse_table, print_answer
 from fallpulley.shares.messages import SetShares, Share, SharesResponse, ShareTable
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,10 +13,16 @@
 import msgspec
 import pytest
 
-from fallpulley.blocks.messages import MachineEntry, Session, ShardRecord, decode_shard
 from fallpulley.jobs.messages import JobRecord
-from fallpulley.jobs.open import OpenJob, chunk_name, chunk_tasks, is_chunk_name, parse_chunk_name
+from fallpulley.jobs.open_job import (
+    OpenJob,
+    chunk_name,
+    chunk_tasks,
+    is_chunk_name,
+    parse_chunk_name,
+)
 from fallpulley.mesh import messages as mesh
+from fallpulley.records.shard_record import MachineEntry, Session, ShardRecord, decode_shard
 from tests.test_day_end import started
 from tests.test_edges import open_job
 from tests.test_stories import others, submit
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -48,18 +48,19 @@
 import pytest
 
 from fallpulley import settings
-from fallpulley.blocks import messages as blocks
-from fallpulley.blocks import packing
-from fallpulley.blocks.session import SessionLease
 from fallpulley.duties import messages as duties
 from fallpulley.fleet import messages as fleet
 from fallpulley.jobs import messages as jobs
 from fallpulley.jobs import persistence
+from fallpulley.membership.session import SessionLease
 from fallpulley.mesh import messages as mesh
+from fallpulley.records import machine_encoding as packing
+from fallpulley.records import shard_record as blocks
 from fallpulley.shares import messages as shares
 from fallpulley.standby import entries, replica
 from fallpulley.standby import messages as standby
-from fallpulley.state import client, view
+from fallpulley.state import client
+from fallpulley.state import watch_cache as view
 from fallpulley.workers import messages as workers
 
 
