--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -50,9 +50,14 @@
     def hand_off_if_unheard(self, shard: Shard) -> None:
         """No machine reaches us any more, but the state service and a peer do: the peer may be
         heard by them, and if so in time for their leases."""
-        if self.context.now - shard.last_heartbeat_at < UNHEARD_LEASES * self.context.lease_s:
+        if (
+            self.context.now - shard.last_heartbeat_at
+            < UNHEARD_LEASES * self.context.timing.lease_s
+        ):
             return
-        if not self.session.is_live() or not any(m.online for m in shard.machines.values()):
+        if not self.session.is_live() or not any(
+            m.heartbeat.online for m in shard.machines.values()
+        ):
             return
         peers = sorted(
             shard_id
@@ -95,7 +100,7 @@
         idle = [m for m in shard.machines.values() if m.usable and m.empty]
         # Spot machines first: jobs that may not use them go where the others are, and would find
         # these scattered over blocks, each with room that none of the others' jobs can have.
-        idle.sort(key=lambda m: (m.entry.spot, m.idle_since or 0.0), reverse=True)
+        idle.sort(key=lambda m: (m.entry.spot, m.scale_in.idle_since or 0.0), reverse=True)
         for machine in idle[:number]:
             log.info(
                 "machine handed over machine=%s from=%s to=%s",
@@ -103,7 +108,7 @@
                 shard.shard_id,
                 to,
             )
-            machine.leaving_shard = True
+            machine.scale_in.leaving_shard = True
             shard.occupancy_due[machine.machine_id] = None
             shard.bookings.pop(machine.machine_id, None)
             shard.needs_replan = True
--- a/fallpulley/controller.py
+++ b/fallpulley/controller.py
@@ -66,7 +66,7 @@
         self.watch = WatchCache(
             context.state_client,
             self._on_key_changed,
-            context.session_s / WATCHES_PER_SESSION,
+            context.timing.session_s / WATCHES_PER_SESSION,
             spacing_s,
         )
         self.registry = Registry()
@@ -146,7 +146,7 @@
 
     def _handle_command(self, command: Command) -> None:
         if isinstance(command, CallCompleted):
-            command.on_response(command.status, command.body, command.sent_at)
+            command.on_response(command.response)
         elif isinstance(command, PeerMessage):
             self._handle_peer_message(command.body)
         elif isinstance(command, OperatorRequest):
@@ -219,7 +219,7 @@
     def is_serving(self) -> bool:
         """Within the answer window: nobody can have proved our machines empty yet."""
         last = min(self.session.renewed_at, self.watch.fresh_at)
-        return self.context.now < last + self.context.response_window_s
+        return self.context.now < last + self.context.timing.response_window_s
 
     def _start_standby(self) -> Standby | None:
         """Only a controller that is to have one loads what a standby needs."""
@@ -351,7 +351,7 @@
             if value is not None and self.standby is not None:
                 self.standby.session_began(key[len(SESSION_PREFIX) :])
         elif key == FORMAT_KEY:
-            self.context.adopt_format(self.registry.record_format)
+            self.context.record_format.adopt(self.registry.record_format)
             self._update_change_share()
 
     def _on_job_record(self, job: str, value: bytes | None, mod_revision: int) -> None:
@@ -381,7 +381,7 @@
     def _update_change_share(self) -> None:
         """Holders write most. A version in production that knows equal shares alone may run until
         the newer format begins."""
-        if not self.context.compact_format:
+        if not self.context.record_format.compact:
             return
         owners = {record.owner for record, _ in self.registry.shards.values()}
         nodes = max(1, self.context.settings.facts.nodes)
@@ -454,7 +454,7 @@
         # What looks at every machine and job runs by the clock, not with every batch.
         if self.context.now < self._next_tick:
             return
-        self._next_tick = self.context.now + TICK_INTERVALS * self.context.report_s
+        self._next_tick = self.context.now + TICK_INTERVALS * self.context.timing.report_s
         self._recheck_deferred = True
         self.leadership.tick()
         term = self.leadership.term
@@ -464,7 +464,9 @@
             self.provider.tick(term)
         marks_due = self.context.now >= self._next_occupancy_at
         if marks_due:
-            self._next_occupancy_at = self.context.now + OCCUPANCY_INTERVALS * self.context.report_s
+            self._next_occupancy_at = (
+                self.context.now + OCCUPANCY_INTERVALS * self.context.timing.report_s
+            )
         for shard in self.shards.values():
             shard.expire_leases(self.watch.fresh_at)
             shard.stop_broken_gangs()
@@ -478,7 +480,8 @@
             if shard.previous_owners_expired():
                 self.writer.sole_owners.add(shard.shard_id)
             if shard.needs_new_revision or (
-                self.context.compact_format and shard.shard_id in self.registry.first_format_shards
+                self.context.record_format.compact
+                and shard.shard_id in self.registry.first_format_shards
             ):
                 self.writer.needs_new_revision.add(shard.shard_id)
             self.job_persistence.tick(
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -34,7 +34,7 @@
 from fallpulley.membership.session import SessionLease
 from fallpulley.records.registry import LEADER_KEY, SHARD_PREFIX, Registry
 from fallpulley.shards.shard import Shard
-from fallpulley.state.client import Change, RequestPriority, Write
+from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
@@ -97,14 +97,14 @@
         machine = shard.machines.get(machine_id) if shard is not None else None
         if shard is None or machine is None:
             return
-        machine.release_decided = machine_id in self.registry_of_duties.returning
+        machine.scale_in.release_decided = machine_id in self.registry_of_duties.returning
         shard.bookings.pop(machine_id, None)
         shard.needs_replan = True
 
     def shard_acquired(self, shard: Shard) -> None:
         """A block is ours from now on; some of its machines may be on their way back."""
         for machine_id in self.registry_of_duties.returning.keys() & shard.machines.keys():
-            shard.machines[machine_id].release_decided = True
+            shard.machines[machine_id].scale_in.release_decided = True
 
     # -- holding ---------------------------------------------------------------------------
 
@@ -154,7 +154,7 @@
             DutyRecord(self.context.controller_id, self.context.incarnation)
         )
 
-        def on_result(status: int | None, revision: int) -> None:
+        def on_result(result: WriteResult) -> None:
             self._claiming_until[name] = self.context.now + CLAIM_RETRY_SECONDS
 
         self.context.state_client.write(
@@ -226,13 +226,13 @@
                 batch.append(machine_id)
                 continue
             shard = self.shards.get(label)
-            decided = shard is not None and shard.machines[machine_id].release_decided
+            decided = shard is not None and shard.machines[machine_id].scale_in.release_decided
             if shard is None or not (decided or machine_id in shard.unreconciled):
                 self.provider.release_requested.discard(
                     machine_id
                 )  # somebody else's by now, or it reported
                 continue
-            shard.machines[machine_id].release_decided = True
+            shard.machines[machine_id].scale_in.release_decided = True
             conditions[SHARD_PREFIX + label] = shard.fencing_token
             batch.append(machine_id)
         batch = self._limit_to_value(batch)
@@ -240,7 +240,7 @@
             self._write_intent(RETURNING, token, Return(batch), RETURNING, conditions)
 
     def _limit_to_value(self, machine_ids: list[str]) -> list[str]:
-        room = MAX_INTENT_SHARE * self.context.value_bytes
+        room = MAX_INTENT_SHARE * self.context.record_format.value_bytes
         while len(machine_ids) > 1 and len(msgspec.json.encode(machine_ids)) > room:
             machine_ids = machine_ids[: len(machine_ids) // 2]
         return machine_ids
@@ -265,11 +265,11 @@
         self._intent_count += 1
         value = msgspec.json.encode(Intent(duty, token, action))
 
-        def on_result(status: int | None, revision: int) -> None:
+        def on_result(result: WriteResult) -> None:
             # Where no answer came, the record shows it or not; a late one is settled as any other.
             self._intents_in_flight.discard(what)
-            if status == 200:
-                self._visible_from[what] = revision
+            if result.committed:
+                self._visible_from[what] = result.revision
 
         self.context.state_client.write(
             Write(
@@ -289,8 +289,8 @@
         intent, mod_revision = self.registry_of_duties.intents[name]
         log.info("intent settled duty=%s term=%d", intent.duty, intent.token)
 
-        def on_result(status: int | None, revision: int) -> None:
-            if status != 200:
+        def on_result(result: WriteResult) -> None:
+            if not result.committed:
                 self._deleting.discard(name)
 
         self.context.state_client.write(
--- a/fallpulley/effects.py
+++ b/fallpulley/effects.py
@@ -6,16 +6,35 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import msgspec
 
-# How a finished call comes back: status (None: no answer, outcome unknown), body, sent at.
-ResponseHandler = Callable[[int | None, bytes, float], None]
-# The status of a call whose answer was longer than this process can take; HTTP has no such one.
+# The status of a call whose response was longer than this process can take; HTTP has no such one.
 RESPONSE_TOO_LONG = 0
 
 
+class Response(msgspec.Struct):
+    """How a call ended."""
+
+    status: int | None  # None: no response, so the outcome is unknown
+    body: bytes
+    sent_at: float  # when the call was sent, by the steady clock
+
+    @property
+    def ok(self) -> bool:
+        """The request was carried out."""
+        return self.status == HTTPStatus.OK
+
+
+ResponseHandler = Callable[[Response], None]
+
+
+def ignore_response(response: Response) -> None:
+    """For calls of which nothing depends on the outcome."""
+
+
 class Request(msgspec.Struct):
     """A request that reached this controller; `ticket` takes its answer."""
 
@@ -42,6 +61,11 @@
     body: bytes
     sent_at: float
 
+    @property
+    def response(self) -> Response:
+        """What the handler takes."""
+        return Response(self.status, self.body, self.sent_at)
+
 
 class PeerMessage(msgspec.Struct):
     """A message of another controller, still encoded."""
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -115,35 +115,41 @@
         but not yet durable, comes with the machines' reports. Taken for waiting, it once had 300
         machines rented at once."""
         if shard.unreconciled:
-            return self.context.lease_s
-        return UNSETTLED_HEARTBEATS * self.context.report_s
+            return self.context.timing.lease_s
+        return UNSETTLED_HEARTBEATS * self.context.timing.report_s
 
     def _plan_size(self, shard: Shard, since_s: float) -> SizingPlan:
         now = self.context.now
         machine_types = self.provider.machine_types or self.registry.machine_types
         supply = []
         for machine in shard.machines.values():
-            if machine.leaving_shard or machine.release_decided or machine.failed_in_cloud:
+            if (
+                machine.scale_in.leaving_shard
+                or machine.scale_in.release_decided
+                or machine.scale_in.failed_in_cloud
+            ):
                 continue
-            if machine.preempted_at is not None:
+            if machine.scale_in.preempted_at is not None:
                 continue
             machine_type = machine_types.get(machine.entry.machine_type)
-            if machine_type is None or (machine.ever_online and not machine.online):
+            if machine_type is None or (
+                machine.heartbeat.ever_online and not machine.heartbeat.online
+            ):
                 continue
-            since = machine.unacknowledged_since if machine.fenced else None
+            since = machine.fencing.unacknowledged_since if machine.fencing.fenced else None
             if (
                 since is not None
-                and now - since > UNACKNOWLEDGED_HEARTBEATS * self.context.report_s
+                and now - since > UNACKNOWLEDGED_HEARTBEATS * self.context.timing.report_s
             ):
                 continue
             if (
-                not machine.ever_online
+                not machine.heartbeat.ever_online
                 and now - machine.granted_at > LATE_BOOT_TIMES * machine_type.boot_s
             ):
                 continue
             idle = None
-            if machine.usable and machine.empty and machine.idle_since is not None:
-                idle = now - machine.idle_since
+            if machine.usable and machine.empty and machine.scale_in.idle_since is not None:
+                idle = now - machine.scale_in.idle_since
             supply.append(
                 SupplyUnit(
                     machine.machine_id,
@@ -232,39 +238,41 @@
         """Machines that never came, went silent, stopped or are faulty go back."""
         now = self.context.now
         for machine in shard.machines.values():
-            if machine.leaving_shard:
+            if machine.scale_in.leaving_shard:
                 continue
             machine_type = self.registry.machine_types.get(machine.entry.machine_type)
             startup = machine_type.boot_s if machine_type else 60.0
             listed = self.provider.listed_machines.get(machine.machine_id)
             if listed is not None and listed.state == "failed":
-                machine.failed_in_cloud = True
+                machine.scale_in.failed_in_cloud = True
             if machine.machine_id in shard.unreconciled:
                 continue
             unacknowledged_s = (
-                now - machine.unacknowledged_since
-                if machine.unacknowledged_since is not None
+                now - machine.fencing.unacknowledged_since
+                if machine.fencing.unacknowledged_since is not None
                 else 0.0
             )
             if (
-                unacknowledged_s > ABANDON_OFFLINE_LEASES * self.context.lease_s
+                unacknowledged_s > ABANDON_OFFLINE_LEASES * self.context.timing.lease_s
                 and not machine.runs
             ):
                 self._abandon(shard, machine, "hears nothing")
-            elif not machine.online and not machine.runs:
-                since = max(machine.last_heartbeat_at, machine.granted_at)
+            elif not machine.heartbeat.online and not machine.runs:
+                since = max(machine.heartbeat.received_at, machine.granted_at)
                 if machine.machine_id in self.provider.released_at:
                     self._abandon(shard, machine, "released")
-                elif machine.failed_in_cloud:
+                elif machine.scale_in.failed_in_cloud:
                     self._abandon(shard, machine, "failed")
-                elif machine.ever_online:
-                    if now - since > ABANDON_OFFLINE_LEASES * self.context.lease_s:
+                elif machine.heartbeat.ever_online:
+                    if now - since > ABANDON_OFFLINE_LEASES * self.context.timing.lease_s:
                         self._abandon(shard, machine, "silent")
-                elif now - since > max(ABANDON_BOOT_TIMES * startup, 2 * self.context.lease_s):
+                elif now - since > max(
+                    ABANDON_BOOT_TIMES * startup, 2 * self.context.timing.lease_s
+                ):
                     self._abandon(shard, machine, "never up")
             elif (
-                len(machine.failed_jobs) >= FAULTY_MACHINE_JOBS
-                and machine.completed_tasks < 4 * len(machine.failed_jobs)
+                len(machine.reliability.failed_jobs) >= FAULTY_MACHINE_JOBS
+                and machine.reliability.completed_tasks < 4 * len(machine.reliability.failed_jobs)
                 and not machine.runs
             ):
                 self._abandon(shard, machine, "faulty")
@@ -273,7 +281,7 @@
         """A machine that does not answer after a takeover holds back every job accepted before
         it. Nearly always it is dead; the cloud's answer to its release proves it empty. Only
         the leader asks for that."""
-        if self.context.now - shard.acquired_at < UNCONFIRMED_LEASES * self.context.lease_s:
+        if self.context.now - shard.acquired_at < UNCONFIRMED_LEASES * self.context.timing.lease_s:
             return
         zones: dict[str, list[int]] = {}
         for machine_id, machine in shard.machines.items():
@@ -283,7 +291,7 @@
         for machine_id in list(shard.unreconciled):
             machine = shard.machines[machine_id]
             missing, all_there = zones[machine.entry.zone]
-            tried = machine.fence_failures >= 2 or not machine.entry.address
+            tried = machine.fencing.probe_failures >= 2 or not machine.entry.address
             if machine_id in self.provider.released_at:
                 shard.confirm_gone(machine_id)
             elif (
@@ -301,7 +309,7 @@
         log.info(
             "machine given up machine=%s why=%s block=%s", machine.machine_id, why, shard.shard_id
         )
-        machine.leaving_shard = True
+        machine.scale_in.leaving_shard = True
         shard.occupancy_due[machine.machine_id] = None
         shard.needs_replan = True
         self.writer.remove(shard.shard_id, machine.machine_id)
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -9,7 +9,6 @@
 from fallpulley.placement.estimate import remaining_run_time
 from fallpulley.placement.plan import URGENT_PRIORITY_LEVEL
 from fallpulley.shards.shard import Shard
-from fallpulley.workers.machine import capacity_of
 
 
 def demand_groups(
@@ -54,11 +53,11 @@
     for machine_type in machine_types.values():
         if job.spec.machine_types is not None and machine_type.name not in job.spec.machine_types:
             continue
-        size = capacity_of(machine_type)
+        size = machine_type.capacity
         if any(n > s for n, s in zip(job.resources, size, strict=True)):
             continue
         share = max(n / s for n, s in zip(job.resources, size, strict=True) if s > 0)
         entry = (machine_type.price_per_hour * share, share * machine_type.cpus)
         if best is None or entry < best:
             best = entry
-    return best[1] if best else job.resources[0]
+    return best[1] if best else job.resources.cpus
--- a/fallpulley/fleet/messages.py
+++ b/fallpulley/fleet/messages.py
@@ -4,6 +4,8 @@
 
 import msgspec
 
+from fallpulley.resources import Resources
+
 # What the cloud's protocol allows: machines in a page of its list, in a release and in a rental.
 LIST_PAGE_SIZE = 500
 MAX_RELEASED_MACHINES = 100
@@ -32,6 +34,11 @@
     cache_gb: float = 0.0
     fetch_gb_per_s: float = 1.0
 
+    @property
+    def capacity(self) -> Resources:
+        """What a machine of this type has."""
+        return Resources(self.cpus, self.gpus, self.memory_gb)
+
 
 class Catalog(msgspec.Struct, rename={"machine_types": "builds"}):
     """`GET /catalog`, and `live/catalog`: every controller needs the types."""
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from fallpulley.context import ControllerContext
-from fallpulley.effects import ResponseHandler
+from fallpulley.effects import Response, ResponseHandler
 from fallpulley.fleet.action_guard import ActionGuard, PermitAll
 from fallpulley.fleet.messages import (
     LIST_PAGE_SIZE,
@@ -26,7 +26,14 @@
 from fallpulley.records.registry import CATALOG_KEY, Registry
 from fallpulley.records.shard_record import MachineEntry
 from fallpulley.records.writer import ShardWriter
-from fallpulley.state.client import Change, RequestPriority, TokenBucket, Write
+from fallpulley.state.client import (
+    Change,
+    RequestPriority,
+    TokenBucket,
+    Write,
+    WriteResult,
+    ignore_result,
+)
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
@@ -120,8 +127,8 @@
     # -- types -----------------------------------------------------------------------------
 
     def _fetch_catalog(self) -> None:
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
-            catalog = _decode(body, Catalog) if status == 200 else None
+        def on_response(response: Response) -> None:
+            catalog = _decode(response.body, Catalog) if response.ok else None
             if catalog is None:
                 self._next_catalog = self.context.now + 1.0
                 return
@@ -132,7 +139,7 @@
                     Write(
                         {CATALOG_KEY: self.watch.mod_revision(CATALOG_KEY)},
                         [Change(CATALOG_KEY, value)],
-                        lambda status, revision: None,
+                        ignore_result,
                         RequestPriority.PROGRESS,
                     )
                 )
@@ -162,8 +169,8 @@
         return self.bucket.tokens >= min(self.bucket.capacity, 1 + leaves)
 
     def _request_page(self, after: str) -> None:
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
-            page = _decode(body, MachineList) if status == 200 else None
+        def on_response(response: Response) -> None:
+            page = _decode(response.body, MachineList) if response.ok else None
             if page is None or self._listing is None:
                 self._listing = None
                 return
@@ -273,8 +280,8 @@
         if not machine_ids:
             return
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
-            if status != 200:
+        def on_response(response: Response) -> None:
+            if not response.ok:
                 self._next_release = self.context.now + 0.5
                 return
             self._next_release = float("-inf")
@@ -301,7 +308,7 @@
             return  # the record stays; its machines are returned once more
         self._release_records_deleting.add(key)
 
-        def on_result(status: int | None, revision: int) -> None:
+        def on_result(result: WriteResult) -> None:
             self._release_records_deleting.discard(key)
 
         self.context.state_client.write(
@@ -344,24 +351,26 @@
         if not self.action_guard.may_scale_out(request, shard_id):
             return
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(response: Response) -> None:
             self._rentals_in_flight.discard(name)
             self._retry_at[name] = self.context.now + 1.0
             self.answered_at = self.context.now
             if name not in self.pending:
-                self._on_late_rental_response(status, body, request, shard_id)
+                self._on_late_rental_response(response.status, response.body, request, shard_id)
                 return
             offer = (request.machine_type, request.zone, request.spot)
-            if status == 200:
+            if response.ok:
                 del self.pending[name]
                 self.action_guard.on_rental_resolved(name)
-                hired = _decode(body, RentalResponse) or RentalResponse()
+                hired = _decode(response.body, RentalResponse) or RentalResponse()
                 self._grant_machines(hired.machine_ids, request, shard_id)
                 if len(hired.machine_ids) < request.count:
                     self._back_off(offer)
                 else:
                     self.refused_until.pop(offer, None)
-            elif status == 400 or (status == 503 and b"no capacity" in body):
+            elif response.status == 400 or (
+                response.status == 503 and b"no capacity" in response.body
+            ):
                 del self.pending[name]
                 self.action_guard.on_rental_resolved(name)
                 self._back_off(offer)
--- a/fallpulley/jobs/open_job.py
+++ b/fallpulley/jobs/open_job.py
@@ -8,6 +8,7 @@
 
 from fallpulley.jobs.messages import PRIORITY_LEVELS, JobKind, JobRecord, Submission
 from fallpulley.jobs.pipelines import DependencyNode
+from fallpulley.resources import Resources
 from fallpulley.workers.machine import TaskRun
 
 # Of a value's room, the share a chunk of completion bits may take after base64.
@@ -53,7 +54,7 @@
         self.record = record
         self.spec = spec
         self.mod_revision = mod_revision
-        self.resources = (spec.cpus, spec.gpus, spec.memory_gb)
+        self.resources = Resources(spec.cpus, spec.gpus, spec.memory_gb)
         self.completed_bits = bytearray((spec.task_count + 7) // 8)
         self.completed_count = 0
         self.durable_bits = bytearray(len(self.completed_bits))
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -8,11 +8,12 @@
 import msgspec
 
 from fallpulley.context import ControllerContext
+from fallpulley.effects import Response
 from fallpulley.jobs.messages import JOB_ID, JobRecord, JobState, Progress
 from fallpulley.jobs.open_job import OpenJob, chunk_name, chunk_tasks, is_chunk_name
 from fallpulley.jobs.service import JOB_PREFIX, JobEntry
 from fallpulley.shards.shard import Shard
-from fallpulley.state.client import Change, RequestPriority, Write
+from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 
 log = logging.getLogger(__name__)
 
@@ -38,7 +39,7 @@
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
         self.first_format_chunk_tasks = chunk_tasks(context.settings.facts.state.value_kb)
-        self.chunk_tasks = chunk_tasks(context.future_state_limits.value_kb)
+        self.chunk_tasks = chunk_tasks(context.record_format.strictest_limits.value_kb)
         self._loading_shards: set[int] = set()
         self._cancellations_pending: set[str] = set()  # records under way
 
@@ -52,7 +53,7 @@
             self._load_progress(shard)
             return
         now = self.context.now
-        age = PROGRESS_REPORTS * self.context.report_s
+        age = PROGRESS_REPORTS * self.context.timing.report_s
         for job in shard.jobs.values():
             if job.cancelled:
                 continue
@@ -76,14 +77,14 @@
             JobRecord(entry.shard_id, entry.submitted_at_ms, entry.task_count, JobState.CANCELLED)
         )
 
-        def on_written(status: int | None, revision: int) -> None:
+        def on_result(result: WriteResult) -> None:
             self._cancellations_pending.discard(job)
 
         self.context.state_client.write(
             Write(
                 {key: entry.mod_revision},
                 [Change(key, value)],
-                on_written,
+                on_result,
                 RequestPriority.PROGRESS,
                 expires_at=self.context.now + 5.0,
             )
@@ -107,16 +108,20 @@
         changes = [Change(key, value)]
         conditions = {key: job.mod_revision}
         # As many progress values as the transaction holds; what is left of them harms nothing.
-        for name, mod_revision in list(job.progress_revisions.items())[: self.context.txn_ops - 1]:
+        for name, mod_revision in list(job.progress_revisions.items())[
+            : self.context.record_format.txn_ops - 1
+        ]:
             conditions[f"{PROGRESS_PREFIX}{job.job_id}/{name}"] = mod_revision
             changes.append(Change(f"{PROGRESS_PREFIX}{job.job_id}/{name}", None))
 
-        def on_written(status: int | None, revision: int) -> None:
-            log.info("job done job=%s status=%s term=%d", job.job_id, status, shard.fencing_token)
-            if status == 409 and job.progress_revisions:
+        def on_result(result: WriteResult) -> None:
+            log.info(
+                "job done job=%s status=%s term=%d", job.job_id, result.status, shard.fencing_token
+            )
+            if result.conflicted and job.progress_revisions:
                 # A late progress write got in between: leave the values, the end counts.
                 job.progress_revisions.clear()
-            if status != 200:
+            if not result.committed:
                 # The watch shows the record if the write got through after all.
                 job.retry_at = self.context.now + 0.3
                 job.final_write_pending = False
@@ -125,14 +130,14 @@
             Write(
                 conditions,
                 changes,
-                on_written,
+                on_result,
                 RequestPriority.ACCEPT,
                 expires_at=self.context.now + 2.0,
             )
         )
 
     def _write_progress(self, job: OpenJob) -> None:
-        newer = self.context.compact_format
+        newer = self.context.record_format.compact
         tasks = self.chunk_tasks if newer else self.first_format_chunk_tasks
         job.unsaved_since = None
         for number in job.unsaved_chunks(tasks)[:4]:
@@ -144,22 +149,22 @@
         content = job.chunk_bytes(number, tasks)
         value = msgspec.json.encode(Progress(base64.b64encode(content).decode()))
 
-        def on_written(status: int | None, revision: int) -> None:
+        def on_result(result: WriteResult) -> None:
             job.progress_write_pending = False
-            if status == 200:
-                job.progress_revisions[name] = revision
+            if result.committed:
+                job.progress_revisions[name] = result.revision
                 job.mark_chunk_durable(number, tasks, content)
                 return
             if job.unsaved_since is None:
                 job.unsaved_since = self.context.now
-            if status in (409, None):
+            if result.conflicted or result.unknown:
                 self._reload_chunk(job, name)
 
         self.context.state_client.write(
             Write(
                 {key: job.progress_revisions.get(name, 0)},
                 [Change(key, value)],
-                on_written,
+                on_result,
                 RequestPriority.PROGRESS,
                 expires_at=self.context.now + 5.0,
             )
@@ -170,13 +175,13 @@
         job.progress_write_pending = True
         path = f"/store/{PROGRESS_PREFIX}{job.job_id}/{name}"
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(response: Response) -> None:
             job.progress_write_pending = False
-            if status == 404:
+            if response.status == 404:
                 job.progress_revisions.pop(name, None)
-            elif status == 200:
+            elif response.ok:
                 try:
-                    item = msgspec.json.decode(body, type=_Item)
+                    item = msgspec.json.decode(response.body, type=_Item)
                 except msgspec.MsgspecError:
                     return
                 job.merge_chunk(
@@ -200,11 +205,11 @@
             f"&after={after}" if after else ""
         )
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(response: Response) -> None:
             page: _Page | None = None
-            if status == 200:
+            if response.ok:
                 try:
-                    page = msgspec.json.decode(body, type=_Page)
+                    page = msgspec.json.decode(response.body, type=_Page)
                 except msgspec.MsgspecError:
                     log.error("state broken progress page")
             if page is None:
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -27,7 +27,7 @@
 from fallpulley.records.registry import TEAM_PREFIX, Registry
 from fallpulley.records.shard_record import TeamShard
 from fallpulley.settings import Team
-from fallpulley.state.client import Change, RequestPriority, Write
+from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
@@ -265,7 +265,7 @@
         if why is not None:
             self._respond_error_unless_accepted(pending_response, spec.job_id, why)
             return
-        if spec.depends_on and not self.context.compact_format:
+        if spec.depends_on and not self.context.record_format.compact:
             # An older controller would start it at once.
             self._respond_unavailable(pending_response, "not every controller knows pipelines yet")
             return
@@ -371,7 +371,7 @@
                 shard_id, round(self.context.wall_time * 1000), spec.task_count, JobState.OPEN, spec
             )
         )
-        if len(value) > self.context.value_bytes:
+        if len(value) > self.context.record_format.value_bytes:
             self._respond_error(pending_response, 400, "too long")
             return
         conditions = {key: 0}
@@ -382,8 +382,8 @@
             if spec.team not in self.registry.team_shards:
                 changes.append(Change(team_key, msgspec.json.encode(TeamShard(shard_id))))
 
-        def on_written(status: int | None, revision: int) -> None:
-            if status == 200:
+        def on_result(result: WriteResult) -> None:
+            if result.committed:
                 log.info(
                     "job accepted job=%s block=%s tasks=%d class=%s",
                     spec.job_id,
@@ -396,7 +396,7 @@
                     JobStatus(spec.job_id, JobState.CANCELLED if cancelled else JobState.PENDING)
                 )
                 self.context.respond(pending_response, 201, body)
-            elif status == 409:
+            elif result.conflicted:
                 self._respond_after_conflict(pending_response, spec)
             else:
                 self._respond_unavailable(pending_response, "state service did not answer")
@@ -405,7 +405,7 @@
             Write(
                 conditions,
                 changes,
-                on_written,
+                on_result,
                 RequestPriority.ACCEPT,
                 expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
             )
@@ -464,8 +464,8 @@
             JobRecord(entry.shard_id, entry.submitted_at_ms, entry.task_count, JobState.CANCELLED)
         )
 
-        def on_written(status: int | None, revision: int) -> None:
-            if status == 200:
+        def on_result(result: WriteResult) -> None:
+            if result.committed:
                 log.info("job withdrawn job=%s", job_id)
                 self.newly_cancelled.append(job_id)
                 self.context.respond(
@@ -473,7 +473,7 @@
                     200,
                     msgspec.json.encode(JobStatus(job_id, JobState.CANCELLED)),
                 )
-            elif status == 409 and attempts_left > 0:
+            elif result.conflicted and attempts_left > 0:
                 self.cancel(pending_response, job_id, attempts_left - 1)
             else:
                 self._respond_unavailable(pending_response, "not decided, ask again")
@@ -482,7 +482,7 @@
             Write(
                 {key: entry.mod_revision},
                 [Change(key, value)],
-                on_written,
+                on_result,
                 RequestPriority.ACCEPT,
                 expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
             )
--- a/fallpulley/membership/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -114,10 +114,12 @@
             if shard_id is not None and shard_id not in shards:
                 self._open_shard(shard_id, shard_id)
                 return
-        full_bytes = FULL_RECORD_SHARE * self.context.value_bytes
-        if self.context.compact_format and self.registry.first_format_shards:
+        full_bytes = FULL_RECORD_SHARE * self.context.record_format.value_bytes
+        if self.context.record_format.compact and self.registry.first_format_shards:
             return  # they shrink first: a second block would cost more than it carries
-        if self.context.paged_format and not all(record.pages for record, _ in shards.values()):
+        if self.context.record_format.paged and not all(
+            record.pages for record, _ in shards.values()
+        ):
             return  # a record that is full is laid out in parts first
         if shards and all(self.registry.record_bytes[shard_id] > full_bytes for shard_id in shards):
             # However few controllers there are, the records must hold all machines.
@@ -132,9 +134,9 @@
         that does not."""
         known = self.registry.known_formats
         if len(self._controller_ids) < self.context.settings.facts.nodes:
-            return self.context.record_format
+            return self.context.record_format.number
         agreed = min(known.get(shard_id, 0) for shard_id in self._controller_ids)
-        return max(self.context.record_format, agreed)
+        return max(self.context.record_format.number, agreed)
 
     def _record_agreed_format(self) -> None:
         """From here on records may be written in a newer format. There is no way back; nothing
@@ -147,7 +149,7 @@
             Write(
                 {FORMAT_KEY: self.watch.mod_revision(FORMAT_KEY)},
                 [Change(FORMAT_KEY, msgspec.json.encode(FormatMarker(agreed)))],
-                lambda status, revision: self._end_write(FORMAT_KEY, f"format {status}"),
+                lambda result: self._end_write(FORMAT_KEY, f"format {result.status}"),
                 RequestPriority.ACCEPT,
                 isolated=True,
                 expires_at=self.context.now + 0.9,
@@ -181,7 +183,7 @@
             self._without_shard_since = (to, self.context.now)
         if (
             self.context.now - self._without_shard_since[1]
-            < HAND_BACK_LEASES * self.context.lease_s
+            < HAND_BACK_LEASES * self.context.timing.lease_s
         ):
             return
         self.hand_off(to if to in ours else max(ours), to)
@@ -228,7 +230,7 @@
                     self.session.key: self.watch.mod_revision(self.session.key),
                 },
                 [Change(LEADER_KEY, value, self.session.lease_id)],
-                lambda status, revision: self._end_write(LEADER_KEY, f"lead {status}"),
+                lambda result: self._end_write(LEADER_KEY, f"lead {result.status}"),
                 RequestPriority.RENEWAL,
                 isolated=True,
                 expires_at=self.context.now + 0.9,
@@ -280,14 +282,16 @@
         changed = msgspec.structs.replace(
             record, owner=owner, incarnation=incarnation, previous_owners=previous_owners
         )
-        return changed.encode(self.context.compact_format, self.context.value_bytes)
+        return changed.encode(
+            self.context.record_format.compact, self.context.record_format.value_bytes
+        )
 
     def _write(self, key: str, conditions: dict[str, int], value: bytes) -> None:
         self.context.state_client.write(
             Write(
                 conditions,
                 [Change(key, value)],
-                lambda status, revision: self._end_write(key, f"take {status}"),
+                lambda result: self._end_write(key, f"take {result.status}"),
                 RequestPriority.RENEWAL,
                 isolated=True,
                 expires_at=self.context.now + 0.9,
--- a/fallpulley/membership/session.py
+++ b/fallpulley/membership/session.py
@@ -7,9 +7,10 @@
 import msgspec
 
 from fallpulley.context import ControllerContext
+from fallpulley.effects import Response
 from fallpulley.records.formats import NEWEST_FORMAT
 from fallpulley.records.shard_record import LeaseGrant, Session
-from fallpulley.state.client import Change, RequestPriority, Write
+from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
@@ -39,14 +40,14 @@
 
     def is_live(self) -> bool:
         """Our session certainly exists."""
-        return self.attached and self.context.now < self.renewed_at + self.context.session_s
+        return self.attached and self.context.now < self.renewed_at + self.context.timing.session_s
 
     def tick(self) -> None:
         if not self.watch.ready:
             return
         now = self.context.now
         if not self._renewal_in_flight and now >= self._next_renewal_at:
-            self._next_renewal_at = now + self.context.session_s / RENEWALS_PER_SESSION
+            self._next_renewal_at = now + self.context.timing.session_s / RENEWALS_PER_SESSION
             if self.lease_id is None:
                 self._create()
             else:
@@ -56,16 +57,16 @@
 
     def _create(self) -> None:
         self._renewal_in_flight = True
-        life_ms = max(100, min(600_000, round(self.context.session_s * 1000)))
+        life_ms = max(100, min(600_000, round(self.context.timing.session_s * 1000)))
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(response: Response) -> None:
             self._renewal_in_flight = False
-            if status == 200:
+            if response.ok:
                 try:
-                    self.lease_id = msgspec.json.decode(body, type=LeaseGrant).lease_id
+                    self.lease_id = msgspec.json.decode(response.body, type=LeaseGrant).lease_id
                 except msgspec.MsgspecError:
                     return
-                self.renewed_at = sent_at
+                self.renewed_at = response.sent_at
 
         body = msgspec.json.encode({"life_ms": life_ms})
         self.context.state_client.request(
@@ -75,17 +76,17 @@
     def _renew(self, lease_id: int) -> None:
         self._renewal_in_flight = True
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(response: Response) -> None:
             self._renewal_in_flight = False
             if self.lease_id != lease_id:
                 return
-            if status == 200:
-                self.renewed_at = max(self.renewed_at, sent_at)
-            elif status == 404:
+            if response.ok:
+                self.renewed_at = max(self.renewed_at, response.sent_at)
+            elif response.status == 404:
                 log.info("session lost tenure=%d", lease_id)
                 self.discard()
 
-        timeout_s = max(0.3, self.context.session_s / RENEWALS_PER_SESSION)
+        timeout_s = max(0.3, self.context.timing.session_s / RENEWALS_PER_SESSION)
         path = f"/leases/{lease_id}/extend"
         self.context.state_client.request(
             path, on_response, RequestPriority.RENEWAL, "POST", b"", timeout_s
@@ -99,14 +100,14 @@
     def _attach(self, lease_id: int) -> None:
         self._attaching = True
 
-        def on_result(status: int | None, revision: int) -> None:
+        def on_result(result: WriteResult) -> None:
             self._attaching = False
             if self.lease_id != lease_id:
                 return
-            if status == 200:
+            if result.committed:
                 self.attached = True
                 log.info("session open tenure=%d boot=%s", lease_id, self.context.incarnation)
-            elif status == 400:
+            elif result.invalid:
                 self.discard()
 
         # An older process of this label has ended, or there would be no new one: its
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -5,6 +5,7 @@
 import msgspec
 
 from fallpulley.context import ControllerContext
+from fallpulley.effects import ignore_response
 from fallpulley.mesh.messages import (
     Cancellations,
     MachineRequest,
@@ -71,9 +72,7 @@
                 self._post(seed.address, body)
 
     def _post(self, address: str, body: bytes) -> None:
-        self.context.call(
-            address, "POST", "/beat", body, HEARTBEAT_SECONDS, lambda status, answer, at: None
-        )
+        self.context.call(address, "POST", "/beat", body, HEARTBEAT_SECONDS, ignore_response)
 
     def receive(self, body: bytes) -> PeerMessageBody | None:
         """The message; None for a heartbeat that is a late copy or overtaken by a newer one: a
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -13,8 +13,7 @@
 import msgspec
 
 from fallpulley.placement.profile import Profile
-
-Resources = tuple[float, float, float]
+from fallpulley.resources import Resources
 
 # Machines of one type differ by up to a tenth in speed: finishes that lie closer together
 # than that share of the estimate are the same for all we know, and cost decides.
@@ -153,9 +152,9 @@
         and (job.machine_types is None or snapshot.machine_type in job.machine_types)
         and (job.zone is None or snapshot.zone == job.zone)
         and (job.avoided_machines is None or snapshot.machine_id not in job.avoided_machines)
-        and job.resources[0] <= snapshot.capacity[0] + 1e-6
-        and job.resources[1] <= snapshot.capacity[1] + 1e-6
-        and job.resources[2] <= snapshot.capacity[2] + 1e-6
+        and job.resources.cpus <= snapshot.capacity.cpus + 1e-6
+        and job.resources.gpus <= snapshot.capacity.gpus + 1e-6
+        and job.resources.memory_gb <= snapshot.capacity.memory_gb + 1e-6
     )
 
 
@@ -231,7 +230,7 @@
             start = now
         took = run_s + ready - start if ready > start else run_s
         finish = start + took
-        left = profile.cpus[0] - job.resources[0]
+        left = profile.cpus[0] - job.resources.cpus
         grain = job.estimated_run_s * EQUAL_FINISH_SHARE
         return (
             round(finish / (grain if grain > 1e-3 else 1e-3)) + cost,
@@ -372,13 +371,9 @@
     # nothing further can start, and the rest of the queue need not be booked. Urgent jobs are,
     # to tell which have to wait too long.
     least: list[Resources] = []
-    low: Resources = (math.inf, math.inf, math.inf)
+    low = Resources(math.inf, math.inf, math.inf)
     for job in reversed(jobs):
-        low = (
-            min(low[0], job.resources[0]),
-            min(low[1], job.resources[1]),
-            min(low[2], job.resources[2]),
-        )
+        low = low.least_of(job.resources)
         least.append(low)
     least.reverse()
     for place, job in enumerate(jobs):
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -54,7 +54,7 @@
         self._prompt_reports(shard)
 
     def _space(self, took_s: float) -> None:
-        report_s = self.context.report_s
+        report_s = self.context.timing.report_s
         wait_s = min(took_s * PLAN_SHARE, MAX_PLAN_INTERVALS * report_s)
         wait_s = max(wait_s, took_s * PLAN_SHARE_LEAST, PLAN_REPORTS * report_s)
         self.ready_at = self.context.now + wait_s
@@ -62,8 +62,11 @@
 
     def _prompt_reports(self, shard: Shard) -> None:
         """Machines with new bookings are asked to report now instead of when it is their turn."""
-        soon = self.context.now + PROMPT_REPORTS * self.context.report_s
+        soon = self.context.now + PROMPT_REPORTS * self.context.timing.report_s
         for machine_id in shard.bookings:
             machine = shard.machines.get(machine_id)
-            if machine is not None and machine.last_heartbeat_at + self.context.report_s > soon:
+            if (
+                machine is not None
+                and machine.heartbeat.received_at + self.context.timing.report_s > soon
+            ):
                 shard.commands.prompt_heartbeat(machine)
--- a/fallpulley/placement/preempt.py
+++ b/fallpulley/placement/preempt.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from fallpulley.placement.plan import MachineSnapshot, PendingJob, Resources, eligible
+from fallpulley.placement.plan import MachineSnapshot, PendingJob, eligible
+from fallpulley.resources import Resources
 
 # Work thrown away for a task may be at most this share of what the task itself brings.
 MAX_LOST_WORK = 0.5
@@ -42,7 +43,7 @@
     """Room for `tasks` tasks of the job, each where it costs least. Takes from what it is given:
     `room` and `victims` shrink by what was chosen."""
     preemptions: dict[str, set[str]] = {}
-    most = MAX_LOST_WORK * job.estimated_run_s * max(job.resources[0], 1.0)
+    most = MAX_LOST_WORK * job.estimated_run_s * max(job.resources.cpus, 1.0)
 
     def offer(number: int) -> tuple[float, int, list[Victim]] | None:
         snapshot = snapshots[number]
@@ -51,7 +52,7 @@
             return None
         ready = snapshot.images.get(job.image)
         fetch_s = job.image_gb / snapshot.fetch_gb_per_s if ready is None else max(0.0, ready - now)
-        return (found[0] + fetch_s * job.resources[0], number, found[1])
+        return (found[0] + fetch_s * job.resources.cpus, number, found[1])
 
     allowed = [number for number, snapshot in enumerate(snapshots) if eligible(job, snapshot)]
     heap = [entry for number in allowed if (entry := offer(number))]
@@ -63,16 +64,8 @@
         snapshot = snapshots[number]
         free = room[snapshot.machine_id]
         for victim in chosen:
-            free = (
-                free[0] + victim.resources[0],
-                free[1] + victim.resources[1],
-                free[2] + victim.resources[2],
-            )
-        room[snapshot.machine_id] = (
-            free[0] - job.resources[0],
-            free[1] - job.resources[1],
-            free[2] - job.resources[2],
-        )
+            free = free.plus(victim.resources)
+        room[snapshot.machine_id] = free.minus(job.resources)
         if chosen:
             gone = {victim.task_id for victim in chosen}
             victims[snapshot.machine_id] = [
@@ -96,9 +89,9 @@
     cpus, gpus, memory_gb = free
     for victim in victims:
         if (
-            cpus >= job.resources[0] - 1e-6
-            and gpus >= job.resources[1] - 1e-6
-            and memory_gb >= job.resources[2] - 1e-6
+            cpus >= job.resources.cpus - 1e-6
+            and gpus >= job.resources.gpus - 1e-6
+            and memory_gb >= job.resources.memory_gb - 1e-6
         ):
             break
         if victim.priority_level >= job.priority_level:
@@ -106,14 +99,14 @@
         chosen.append(victim)
         loss += victim.lost_work
         cpus, gpus, memory_gb = (
-            cpus + victim.resources[0],
-            gpus + victim.resources[1],
-            memory_gb + victim.resources[2],
+            cpus + victim.resources.cpus,
+            gpus + victim.resources.gpus,
+            memory_gb + victim.resources.memory_gb,
         )
     if (
-        cpus < job.resources[0] - 1e-6
-        or gpus < job.resources[1] - 1e-6
-        or memory_gb < job.resources[2] - 1e-6
+        cpus < job.resources.cpus - 1e-6
+        or gpus < job.resources.gpus - 1e-6
+        or memory_gb < job.resources.memory_gb - 1e-6
     ):
         return None
     return loss, chosen
--- a/fallpulley/placement/profile.py
+++ b/fallpulley/placement/profile.py
@@ -5,6 +5,8 @@
 from bisect import bisect_right
 from math import inf
 
+from fallpulley.resources import Resources
+
 # Rounding left over from adding and subtracting decimal amounts.
 EPSILON = 1e-6
 
@@ -64,9 +66,9 @@
         """When the room now first changes."""
         return self.times[1] if len(self.times) > 1 else inf
 
-    def earliest(self, resources: tuple[float, float, float], duration: float) -> float | None:
+    def earliest(self, resources: Resources, duration: float) -> float | None:
         """The first time from which `need` fits for `duration`; None: never."""
-        c, g, m = resources[0] - EPSILON, resources[1] - EPSILON, resources[2] - EPSILON
+        c, g, m = resources.cpus - EPSILON, resources.gpus - EPSILON, resources.memory_gb - EPSILON
         times, cpus, gpus, memory_gb = self.times, self.cpus, self.gpus, self.memory_gb
         count = len(times)
         start = 0
@@ -85,14 +87,14 @@
             start = step + 1
         return None
 
-    def book(self, start: float, duration: float, resources: tuple[float, float, float]) -> None:
+    def book(self, start: float, duration: float, resources: Resources) -> None:
         """Take `need` from `start` for `duration`."""
         first = self._cut(start)
         last = self._cut(start + duration)
         for step in range(first, last):
-            self.cpus[step] -= resources[0]
-            self.gpus[step] -= resources[1]
-            self.memory_gb[step] -= resources[2]
+            self.cpus[step] -= resources.cpus
+            self.gpus[step] -= resources.gpus
+            self.memory_gb[step] -= resources.memory_gb
 
     def _cut(self, at: float) -> int:
         """The index of the step that begins at `at`, made if there is none."""
@@ -107,9 +109,9 @@
         self.memory_gb.insert(step + 1, self.memory_gb[step])
         return step + 1
 
-    def fits_now(self, resources: tuple[float, float, float]) -> bool:
+    def fits_now(self, resources: Resources) -> bool:
         return (
-            self.cpus[0] >= resources[0] - EPSILON
-            and self.memory_gb[0] >= resources[2] - EPSILON
-            and self.gpus[0] >= resources[1] - EPSILON
+            self.cpus[0] >= resources.cpus - EPSILON
+            and self.memory_gb[0] >= resources.memory_gb - EPSILON
+            and self.gpus[0] >= resources.gpus - EPSILON
         )
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -18,7 +18,6 @@
     MachineSnapshot,
     PendingJob,
     Plan,
-    Resources,
     count_shapes,
     eligible,
     make_plan,
@@ -27,9 +26,10 @@
 )
 from fallpulley.placement.preempt import Preemption, Victim, choose_victims
 from fallpulley.records.registry import Registry
+from fallpulley.resources import Resources
 from fallpulley.settings import Team
 from fallpulley.shards.shard import Shard
-from fallpulley.workers.machine import Machine, capacity_of
+from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import TaskState
 
 # From a stop to the start in its place: a part of a report interval, and what a stopped task is
@@ -58,9 +58,13 @@
     snapshots = []
     estimates: dict[str, float] = {}
     for machine in shard.machines.values():
-        if not machine.usable or not machine.marked_occupied or now < machine.refuses_tasks_until:
+        if (
+            not machine.usable
+            or not machine.marked_occupied
+            or now < machine.reliability.refuses_tasks_until
+        ):
             continue
-        if machine.draining:
+        if machine.scale_in.draining:
             continue
         snapshot = machine.snapshot
         if snapshot is None or now >= snapshot.valid_until:
@@ -84,11 +88,11 @@
 ) -> MachineSnapshot:
     """`estimates`: those of the jobs met in this plan so far; a job has tasks on many machines."""
     running = []
-    slowness = machine.slowness
+    slowness = machine.speed.slowness
     until = math.inf
     fetch_free = now
-    images = dict.fromkeys(machine.images, 0.0)
-    for image, ready in machine.fetching.items():
+    images = dict.fromkeys(machine.images.cached, 0.0)
+    for image, ready in machine.images.fetching.items():
         images[image] = max(ready, now + 0.5)
         fetch_free = max(fetch_free, images[image])
     for run in machine.runs.values():
@@ -114,7 +118,7 @@
         machine_type.name,
         machine.entry.zone,
         machine.entry.spot,
-        capacity_of(machine_type),
+        machine_type.capacity,
         max(machine_type.fetch_gb_per_s, 1e-3),
         slowness,
         running,
@@ -168,7 +172,7 @@
         found,
         shard,
         context,
-        MAX_LATE_WORK_SHARE * sum(snapshot.capacity[0] for snapshot in snapshots),
+        MAX_LATE_WORK_SHARE * sum(snapshot.capacity.cpus for snapshot in snapshots),
     )
     found.sort(key=queue_order)
     _keep_limits(found, shard, teams)
@@ -256,8 +260,8 @@
         if entry.all_at_once and count < entry.task_count:
             count = 0
         entry.task_count = count
-        rest[0] -= count * entry.resources[0]
-        rest[1] -= count * entry.resources[1]
+        rest[0] -= count * entry.resources.cpus
+        rest[1] -= count * entry.resources.gpus
 
 
 class PlacementDecision(msgspec.Struct):
@@ -313,7 +317,7 @@
         if after is not None and waited > after and entry.priority_level < URGENT_PRIORITY_LEVEL:
             late.append(entry)
     for entry in sorted(late, key=queue_order):
-        room -= entry.task_count * entry.resources[0]
+        room -= entry.task_count * entry.resources.cpus
         if room < 0:
             return
         entry.overdue = True
@@ -347,7 +351,7 @@
         # A stop takes effect with its machine's next report. Room that comes by then cannot be
         # had sooner: without this, a task that was late already had others stopped for it in
         # plan after plan while the first stops were still under way.
-        soonest = STOP_REPORTS * context.report_s + STOP_S
+        soonest = STOP_REPORTS * context.timing.report_s + STOP_S
         until = context.now + max(soonest, patience[job_class] - waited)
         count = sum(1 for start in plan.later.get(entry.job_id, ()) if start > until)
         if count:
@@ -358,17 +362,10 @@
     for snapshot in snapshots:
         free = snapshot.profile
         if free is not None:
-            room[snapshot.machine_id] = (free.cpus[0], free.gpus[0], free.memory_gb[0])
+            room[snapshot.machine_id] = Resources(free.cpus[0], free.gpus[0], free.memory_gb[0])
     for booking in plan.starts:
-        resources, (cpus, gpus, memory_gb) = (
-            shard.jobs[booking.job_id].resources,
-            room[booking.machine_id],
-        )
-        room[booking.machine_id] = (
-            cpus - resources[0],
-            gpus - resources[1],
-            memory_gb - resources[2],
-        )
+        resources = shard.jobs[booking.job_id].resources
+        room[booking.machine_id] = room[booking.machine_id].minus(resources)
     # Only where one of the late jobs may run and something can make room for it: most of a fleet
     # may be closed to an urgent class, and the rest of it full of that class's own tasks.
     least = _least_demanding([entry for entry, _ in late])
@@ -379,7 +376,7 @@
         if not any(eligible(entry, snapshot) for entry in least):
             continue
         found = _victims(shard, context, snapshot.machine_id, priority_level)
-        if found or any(_fits(entry.resources, room[snapshot.machine_id]) for entry in least):
+        if found or any(entry.resources.fits_in(room[snapshot.machine_id]) for entry in least):
             victims[snapshot.machine_id] = found
             offering.append(snapshot)
     preemptions: list[Preemption] = []
@@ -399,19 +396,11 @@
         machine_types = None if job.machine_types is None else tuple(job.machine_types)
         avoid = None if job.avoided_machines is None else frozenset(job.avoided_machines)
         alike = shapes.setdefault((job.allow_spot, machine_types, job.zone, avoid), [])
-        if not any(_fits(other.resources, job.resources) for other in alike):
+        if not any(other.resources.fits_in(job.resources) for other in alike):
             alike.append(job)
     return [job for alike in shapes.values() for job in alike]
 
 
-def _fits(resources: Resources, room: Resources) -> bool:
-    return (
-        resources[0] <= room[0] + 1e-6
-        and resources[1] <= room[1] + 1e-6
-        and resources[2] <= room[2] + 1e-6
-    )
-
-
 def _victims(shard: Shard, context: ControllerContext, machine_id: str, below: int) -> list[Victim]:
     """The tasks of a lower rank on a machine, those whose stop loses least for their room first."""
     found = []
@@ -432,7 +421,7 @@
         ran = now - run.started_at if run.started_at is not None else 0.0
         if job.spec.checkpoint_interval_s > 0:
             ran = min(ran, 0.5 * job.spec.checkpoint_interval_s)
-        loss = max(ran, 0.1) * max(run.resources[0], 0.1)
+        loss = max(ran, 0.1) * max(run.resources.cpus, 0.1)
         found.append(Victim(run.task_id, job.priority_level, run.resources, loss))
-    found.sort(key=lambda victim: victim.lost_work / max(victim.resources[0], 0.1))
+    found.sort(key=lambda victim: victim.lost_work / max(victim.resources.cpus, 0.1))
     return found
--- a/fallpulley/records/machine_encoding.py
+++ b/fallpulley/records/machine_encoding.py
@@ -24,6 +24,10 @@
     # proved empty, so that a successor need not wait for machines that cannot hold any.
     occupied: bool = False
 
+    def with_address(self, address: str) -> MachineEntry:
+        """The same machine at an address."""
+        return MachineEntry(address, self.machine_type, self.zone, self.spot, self.occupied)
+
 
 Machines = dict[str, MachineEntry]
 
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -15,7 +15,13 @@
 from fallpulley.records.record_update import RecordLimits, RecordUpdate, ShardChange, update_record
 from fallpulley.records.registry import RELEASE_PREFIX, SHARD_PREFIX, Registry
 from fallpulley.records.shard_record import MachineEntry, Machines, ReleaseRecord, ShardRecord
-from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change, RequestPriority, Write
+from fallpulley.state.client import (
+    MAX_TRANSACTION_BYTES,
+    Change,
+    RequestPriority,
+    Write,
+    WriteResult,
+)
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
@@ -103,23 +109,23 @@
     def has_room(self, shard_id: str) -> bool:
         """The block's record can take one machine more."""
         coming = len(self.adding.get(shard_id, ())) + 1
-        if self.context.paged_format:
+        if self.context.record_format.paged:
             return not self._header_is_full(shard_id)
-        if not self.context.compact_format:
+        if not self.context.record_format.compact:
             return (
                 self.registry.record_bytes.get(shard_id, 0) + coming * FIRST_FORMAT_ENTRY_BYTES
-                <= self.context.value_bytes
+                <= self.context.record_format.value_bytes
             )
         if shard_id in self.registry.first_format_shards:
             return True  # it shrinks with its next change
         filled = self.registry.record_bytes.get(shard_id, 0)
-        return filled + coming * COMPACT_ENTRY_BYTES <= self.context.value_bytes
+        return filled + coming * COMPACT_ENTRY_BYTES <= self.context.record_format.value_bytes
 
     def _header_is_full(self, shard_id: str) -> bool:
         """Its machines stand in so many parts that the list of them fills the record."""
         entry = self.registry.shards.get(shard_id)
         filled = self.registry.record_bytes.get(shard_id, 0)
-        full_bytes = FULL_RECORD_SHARE * self.context.value_bytes
+        full_bytes = FULL_RECORD_SHARE * self.context.record_format.value_bytes
         return entry is not None and bool(entry[0].pages) and filled > full_bytes
 
     def is_being_added(self, machine_id: str) -> bool:
@@ -188,19 +194,19 @@
     def _send(self, shard_id: str, changes: list[Change], conditions: dict[str, int]) -> None:
         self._writing_until[shard_id] = self.context.now + 3.0
 
-        def on_result(status: int | None, revision: int) -> None:
-            if status is None:
+        def on_result(result: WriteResult) -> None:
+            if result.unknown:
                 self._unresolved.add(shard_id)
-            elif status == 200:
+            elif result.committed:
                 self._unresolved.discard(shard_id)
                 # A conflict settles nothing: it may be our own late write that got through, and
                 # our copy of the record may be from before it.
-                self._visible_from[shard_id] = revision
+                self._visible_from[shard_id] = result.revision
                 self.needs_new_revision.discard(shard_id)
             # What is wished within a part of a report interval goes out together: a record of
             # hundreds of machines is read by every controller at each change.
             self._writing_until[shard_id] = (
-                self.context.now + WRITE_INTERVAL_SHARE * self.context.report_s
+                self.context.now + WRITE_INTERVAL_SHARE * self.context.timing.report_s
             )
 
         self.context.state_client.write(
@@ -212,7 +218,10 @@
     def _limits(self, changes: int) -> RecordLimits:
         context = self.context
         return RecordLimits(
-            context.compact_format, context.paged_format, context.value_bytes, changes
+            context.record_format.compact,
+            context.record_format.paged,
+            context.record_format.value_bytes,
+            changes,
         )
 
     def _without_ended_owners(self, shard_id: str, record: ShardRecord) -> ShardRecord:
@@ -229,12 +238,12 @@
         out = self._releasable(self.removing.get(shard_id, set()))
         pending = ShardChange(adding, out, self.occupancy.get(shard_id, {}), self.addresses)
         record = self._without_ended_owners(shard_id, record)
-        max_changes = self.context.txn_ops - EXTRA_CHANGES
+        max_changes = self.context.record_format.txn_ops - EXTRA_CHANGES
         edit = update_record(shard_id, record, mod_revision, pending, self._limits(max_changes))
         while edit.size > MAX_TRANSACTION_BYTES and max_changes > MIN_CHANGES:
             max_changes = max(MIN_CHANGES, max_changes // 2)
             edit = update_record(shard_id, record, mod_revision, pending, self._limits(max_changes))
-        if not self.context.paged_format:
+        if not self.context.record_format.paged:
             # Left to the next list, which grants it to a block with room.
             for machine_id in adding.keys() - set(edit.added):
                 del adding[machine_id]
@@ -245,11 +254,11 @@
     def _releasable(self, removing: set[str]) -> list[str]:
         """Those that one transaction may both take out and have released."""
         out = sorted(removing)
-        if not self.context.compact_format:
+        if not self.context.record_format.compact:
             # In the first format each machine that goes has a record of its own.
-            return out[: self.context.txn_ops - 3]
+            return out[: self.context.record_format.txn_ops - 3]
         out = out[:MAX_RELEASED_PER_RECORD]
-        room = MAX_RELEASE_RECORD_SHARE * self.context.value_bytes
+        room = MAX_RELEASE_RECORD_SHARE * self.context.record_format.value_bytes
         while len(out) > 1 and len(msgspec.json.encode(ReleaseRecord(out))) > room:
             out = out[: len(out) // 2]
         return out
@@ -257,7 +266,7 @@
     def _release_record(self, machine_ids: list[str]) -> list[Change]:
         if not machine_ids:
             return []
-        if self.context.compact_format:
+        if self.context.record_format.compact:
             return [
                 Change(
                     RELEASE_PREFIX + machine_ids[0], msgspec.json.encode(ReleaseRecord(machine_ids))
@@ -274,7 +283,7 @@
         other = self.registry.shards.get(to) if to is not None else None
         if to is None or other is None:
             return None
-        half = self.context.txn_ops // 2
+        half = self.context.record_format.txn_ops // 2
         going = {
             machine_id: _unoccupied(record.machines[machine_id])
             for machine_id, shard_id in moving.items()
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from fallpulley.effects import Response
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
@@ -63,10 +64,10 @@
         job.runs[booking.task_index] = run
         machine.runs[run.task_id] = run
         self.shard.decisions.task_started(run)
-        machine.start_unacknowledged = True
+        machine.heartbeat.start_unacknowledged = True
         machine.snapshot = None
         log.debug("task ordered task=%s machine=%s", run.task_id, machine.machine_id)
-        machine.idle_since = None
+        machine.scale_in.idle_since = None
         return TaskCommand(Operation.START, run.task_id, run.attempt)
 
     def stop(self, run: TaskRun, grace_period_s: float) -> None:
@@ -100,12 +101,12 @@
         only once in half a lease."""
         now = self.context.now
         if (
-            now < machine.prompted_at + PROMPT_INTERVAL_LEASES * self.context.lease_s
+            now < machine.fencing.prompted_at + PROMPT_INTERVAL_LEASES * self.context.timing.lease_s
             or not machine.entry.address
         ):
             return
-        if machine.advance_token(self.shard.fencing_token):
-            machine.prompted_at = now
+        if machine.fencing.advance_token(self.shard.fencing_token):
+            machine.fencing.prompted_at = now
             self.send_direct(machine, [])
 
     def send_direct(
@@ -116,13 +117,13 @@
     ) -> None:
         """Command a machine at its address; `answered` is told the outcome first."""
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
+        def done(response: Response) -> None:
             if answered is not None:
-                answered(status)
-            self._on_direct_response(machine, status, body)
+                answered(response.status)
+            self._on_direct_response(machine, response.status, response.body)
 
         message = msgspec.json.encode(
-            DirectCommand(machine.fencing_token, machine.agent_epoch or 1, commands)
+            DirectCommand(machine.fencing.token, machine.heartbeat.agent_epoch or 1, commands)
         )
         self.context.call(machine.entry.address, "POST", "/do", message, 1.5, done)
 
@@ -137,9 +138,9 @@
             return
         if status == 200:
             self.shard.intake.handle(machine, heartbeat, is_heartbeat=False)
-        elif not machine.fenced and heartbeat.agent_epoch > machine.agent_epoch:
-            machine.agent_epoch = heartbeat.agent_epoch
-            machine.next_fence_at = float("-inf")
+        elif not machine.fencing.fenced and heartbeat.agent_epoch > machine.heartbeat.agent_epoch:
+            machine.heartbeat.agent_epoch = heartbeat.agent_epoch
+            machine.fencing.next_probe_at = float("-inf")
 
     def pending_commands(self, machine: Machine) -> list[TaskCommand]:
         """Clears and stops for a check-in's reply."""
--- a/fallpulley/shards/fencing.py
+++ b/fallpulley/shards/fencing.py
@@ -5,7 +5,6 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from fallpulley.records.machine_encoding import MachineEntry
 from fallpulley.workers.machine import Machine
 
 if TYPE_CHECKING:
@@ -42,39 +41,35 @@
                 return
             machine_id = self._queue.popleft()
             machine = shard.machines.get(machine_id)
-            if machine is None or machine_id not in shard.unreconciled or machine.fenced:
+            if machine is None or machine_id not in shard.unreconciled or machine.fencing.fenced:
                 continue  # it has shown our token, or has left
             self._queue.append(machine_id)
             if not machine.entry.address and machine_id in addresses:
-                machine.entry = _with_address(machine.entry, addresses[machine_id])
+                machine.entry = machine.entry.with_address(addresses[machine_id])
             if self._may_probe(machine):
                 self._probe(machine)
 
     def _may_probe(self, machine: Machine) -> bool:
         now = self.shard.context.now
         # One that was told our token with the answer to its own report shows it with the next.
-        told = now < machine.unfenced_heartbeat_at + self.shard.context.report_s
+        told = now < machine.fencing.unfenced_heartbeat_at + self.shard.context.timing.report_s
         return (
             bool(machine.entry.address)
-            and not machine.fence_in_flight
-            and now >= machine.next_fence_at
+            and not machine.fencing.probe_in_flight
+            and now >= machine.fencing.next_probe_at
             and not told
         )
 
     def _probe(self, machine: Machine) -> None:
-        machine.fence_in_flight = True
-        machine.next_fence_at = (
-            self.shard.context.now + RETRY_INTERVALS * self.shard.context.report_s
+        machine.fencing.probe_in_flight = True
+        machine.fencing.next_probe_at = (
+            self.shard.context.now + RETRY_INTERVALS * self.shard.context.timing.report_s
         )
         self.in_flight += 1
 
         def answered(status: int | None) -> None:
             self.in_flight -= 1
-            machine.fence_in_flight = False
-            machine.fence_failures += status not in (200, 409)
+            machine.fencing.probe_in_flight = False
+            machine.fencing.probe_failures += status not in (200, 409)
 
         self.shard.commands.send_direct(machine, [], answered)
-
-
-def _with_address(entry: MachineEntry, address: str) -> MachineEntry:
-    return MachineEntry(address, entry.machine_type, entry.zone, entry.spot, entry.occupied)
--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -7,7 +7,8 @@
 
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.workers.machine import HeartbeatChanges, Machine, TaskRun, apply_heartbeat
+from fallpulley.workers.heartbeat_changes import HeartbeatChanges, apply_heartbeat
+from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import START_REFUSALS, ExitReason, Heartbeat, TaskState, TaskStatus
 
 if TYPE_CHECKING:
@@ -32,25 +33,28 @@
 
     def _apply(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
         now = self.context.now
-        if not machine.is_newer(heartbeat):
+        if not machine.heartbeat.is_newer(heartbeat):
             return False
         if machine.is_unchanged(heartbeat):
-            machine.sequence = heartbeat.sequence
+            machine.heartbeat.sequence = heartbeat.sequence
             self._mark_online(machine, is_heartbeat)
             return True
         machine.snapshot = None
         was_usable = machine.usable
         self._check_token(machine, heartbeat)
-        if not machine.fenced:
+        if not machine.fencing.fenced:
             # Perhaps a late copy from before we had it: this renews nothing and proves nothing.
-            machine.agent_epoch, machine.sequence = heartbeat.agent_epoch, heartbeat.sequence
-            machine.unfenced_heartbeat_at = now
+            machine.heartbeat.agent_epoch, machine.heartbeat.sequence = (
+                heartbeat.agent_epoch,
+                heartbeat.sequence,
+            )
+            machine.fencing.unfenced_heartbeat_at = now
             self.shard.occupancy_due[machine.machine_id] = None
             return True
         outcome = apply_heartbeat(machine, heartbeat, now, is_heartbeat)
         if is_heartbeat:
             self._mark_online(machine, is_heartbeat)
-        if outcome.start_missed and machine.unacknowledged_since is None:
+        if outcome.start_missed and machine.fencing.unacknowledged_since is None:
             self._mark_unacknowledged(machine)
         self._apply_outcome(machine, outcome)
         if self.shard.unreconciled and machine.machine_id in self.shard.unreconciled:
@@ -65,22 +69,22 @@
         if machine.usable != was_usable:
             self.shard.needs_replan = True
             self.shard.occupancy_due[machine.machine_id] = None
-        if machine.preempted_at is not None:
+        if machine.scale_in.preempted_at is not None:
             self._drain_for_preemption(machine)
         return True
 
     def _check_token(self, machine: Machine, heartbeat: Heartbeat) -> None:
         """Its highest token shows whether it has heard us since we last raised it."""
-        if heartbeat.fencing_token >= machine.fencing_token:
-            if not machine.fenced:
-                machine.fenced = True
+        if heartbeat.fencing_token >= machine.fencing.token:
+            if not machine.fencing.fenced:
+                machine.fencing.fenced = True
                 self.shard.needs_replan = True
-            if machine.unacknowledged_since is not None:
-                machine.unacknowledged_since = None
+            if machine.fencing.unacknowledged_since is not None:
+                machine.fencing.unacknowledged_since = None
                 self.shard.unacknowledged.discard(machine.machine_id)
                 self.shard.needs_replan = True
-        elif not machine.fenced and machine.unacknowledged_since is None:
-            machine.unacknowledged_since = self.context.now
+        elif not machine.fencing.fenced and machine.fencing.unacknowledged_since is None:
+            machine.fencing.unacknowledged_since = self.context.now
             self.shard.unacknowledged.add(machine.machine_id)
 
     def _mark_unacknowledged(self, machine: Machine) -> None:
@@ -88,21 +92,25 @@
         it hears us nor that its lease goes on: it gets no task until it reports with a token
         that it can have from us alone."""
         log.info("machine hears nothing machine=%s", machine.machine_id)
-        machine.unacknowledged_since = self.context.now
+        machine.fencing.unacknowledged_since = self.context.now
         self.shard.unacknowledged.add(machine.machine_id)
         self.shard.needs_replan = True
-        if not machine.advance_token(self.shard.fencing_token):
+        if not machine.fencing.advance_token(self.shard.fencing_token):
             self.shard.needs_new_revision = True
 
     def _mark_online(self, machine: Machine, is_heartbeat: bool) -> None:
         if is_heartbeat:
-            if not machine.online:
+            if not machine.heartbeat.online:
                 self.shard.needs_replan = True
                 self.shard.occupancy_due[machine.machine_id] = None
-                log.info("machine up machine=%s shift=%d", machine.machine_id, machine.agent_epoch)
+                log.info(
+                    "machine up machine=%s shift=%d",
+                    machine.machine_id,
+                    machine.heartbeat.agent_epoch,
+                )
                 self.shard.decisions.machine_reachability_changed(machine.machine_id, True)
-            machine.online = machine.ever_online = True
-            machine.last_heartbeat_at = self.shard.last_heartbeat_at = self.context.now
+            machine.heartbeat.online = machine.heartbeat.ever_online = True
+            machine.heartbeat.received_at = self.shard.last_heartbeat_at = self.context.now
 
     def _apply_outcome(self, machine: Machine, outcome: HeartbeatChanges) -> None:
         now = self.context.now
@@ -115,17 +123,17 @@
         for run in outcome.started:
             job = self.shard.jobs.get(run.job_id)
             if job is not None:
-                machine.fetching.pop(job.spec.image, None)
+                machine.images.fetching.pop(job.spec.image, None)
             log.debug("task began task=%s machine=%s", run.task_id, run.machine_id)
         for status in outcome.unknown_tasks:
             self._on_unknown_task(machine, status)
         if outcome.vanished or outcome.exited:
             self.shard.needs_replan = True
         if machine.empty:
-            if machine.idle_since is None:
-                machine.idle_since = now
+            if machine.scale_in.idle_since is None:
+                machine.scale_in.idle_since = now
         else:
-            machine.idle_since = None
+            machine.scale_in.idle_since = None
 
     def _on_exited(self, machine: Machine, run: TaskRun | None, status: TaskStatus) -> None:
         named = parse_task_id(status.task_id)
@@ -148,20 +156,24 @@
             )
             job.requeue(run.task_index)
             if status.exit_reason == ExitReason.ERROR:
-                job.record_failure(machine.machine_id, self.context.now, self.context.lease_s)
-                machine.failed_jobs.add(job.job_id)
+                job.record_failure(
+                    machine.machine_id, self.context.now, self.context.timing.lease_s
+                )
+                machine.reliability.failed_jobs.add(job.job_id)
             elif status.exit_reason in START_REFUSALS:
-                machine.refuses_tasks_until = self.context.now + self.context.report_s
+                machine.reliability.refuses_tasks_until = (
+                    self.context.now + self.context.timing.report_s
+                )
         if job.cancelled and not job.runs:
             self.shard.jobs.pop(job.job_id, None)
 
     def _record_run_time(self, machine: Machine, job: OpenJob, run: TaskRun | None) -> None:
-        machine.completed_tasks += 1
+        machine.reliability.completed_tasks += 1
         if run is None or run.started_at is None or job.spec.kind == JobKind.SERVICE:
             return
         took = max(0.1, self.context.now - run.started_at)
         expected = self.shard.estimate_run_s(job)
-        machine.record_run_time_ratio(took / expected)
+        machine.speed.record(took / expected)
         job.observed_tasks += 1
         job.observed_run_s += took
         job_class = job.spec.job_class
@@ -205,7 +217,7 @@
 
     def _drain_for_preemption(self, machine: Machine) -> None:
         """The cloud takes the machine: tasks that cannot finish leave it while they can save."""
-        left = (machine.preempted_at or 0.0) - self.context.now
+        left = (machine.scale_in.preempted_at or 0.0) - self.context.now
         for run in machine.runs.values():
             job = self.shard.jobs.get(run.job_id)
             if job is None or run.stop_grace_s is not None:
@@ -214,6 +226,6 @@
             if run.started_at is not None and run.estimated_run_s - spent < left - 1.0:
                 continue
             saves = job.spec.checkpoint_interval_s > 0
-            if saves and left > job.spec.checkpoint_save_s + 2 * self.context.report_s:
+            if saves and left > job.spec.checkpoint_save_s + 2 * self.context.timing.report_s:
                 continue  # there is time for more work before saving
             self.shard.commands.stop(run, left if saves else 0.0)
--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -41,20 +41,26 @@
                 continue
             marked = self.writer.occupancy.get(shard.shard_id, {}).get(machine_id, entry.occupied)
             self._update_machine(shard, machine, marked)
-            if machine.leaving_shard and not self.writer.leaving(shard.shard_id, machine_id):
-                machine.leaving_shard = False  # its move was called off
+            if machine.scale_in.leaving_shard and not self.writer.leaving(
+                shard.shard_id, machine_id
+            ):
+                machine.scale_in.leaving_shard = False  # its move was called off
                 shard.needs_replan = True
             used = self.writer.is_occupied(shard.shard_id, machine_id)
             if used != machine.marked_occupied:
                 machine.marked_occupied = used
                 shard.needs_replan = True
-            if machine.leaving_shard or machine_id in self.writer.occupancy.get(shard.shard_id, ()):
+            if machine.scale_in.leaving_shard or machine_id in self.writer.occupancy.get(
+                shard.shard_id, ()
+            ):
                 shard.occupancy_due[machine_id] = None
 
     def _update_machine(self, shard: Shard, machine: Machine, marked: bool) -> None:
-        unfenced = self.context.now < machine.unfenced_heartbeat_at + self.context.lease_s
+        unfenced = (
+            self.context.now < machine.fencing.unfenced_heartbeat_at + self.context.timing.lease_s
+        )
         unconfirmed = machine.machine_id in shard.unreconciled
-        may_hold = machine.online or bool(machine.runs) or unconfirmed or unfenced
+        may_hold = machine.heartbeat.online or bool(machine.runs) or unconfirmed or unfenced
         if (machine.usable or unfenced) and not marked:
             self._set_occupied(shard, machine.machine_id, True)
         elif not may_hold and marked and machine.granted_at < self.context.now:
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -10,7 +10,7 @@
 import logging
 from collections.abc import Iterator
 
-from fallpulley.context import CLOCK_DRIFT, ControllerContext
+from fallpulley.context import ControllerContext
 from fallpulley.jobs.messages import JobKind, JobRecord
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.jobs.pipelines import DependencyNode
@@ -23,6 +23,7 @@
 from fallpulley.shards.fencing import Fencing
 from fallpulley.shards.heartbeat_intake import HeartbeatIntake
 from fallpulley.shards.lease_watch import LeaseWatch
+from fallpulley.timing import CLOCK_DRIFT
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import TaskState
 
@@ -51,7 +52,9 @@
         self.acquired_at = context.now
         # Earlier holders may answer their machines until their windows end; a machine that
         # cannot be reached is empty a lease later.
-        self.unreachable_empty_at = context.now + context.response_window_s + context.lease_expiry_s
+        self.unreachable_empty_at = (
+            context.now + context.timing.response_window_s + context.timing.lease_expiry_s
+        )
         self.machines = {
             machine_id: Machine(machine_id, entry, mod_revision, context.now)
             for machine_id, entry in record.machines.items()
@@ -121,8 +124,8 @@
         cpus = gpus = 0.0
         for job in self.jobs.values():
             if job.spec.team == team:
-                cpus += job.resources[0] * len(job.runs)
-                gpus += job.resources[1] * len(job.runs)
+                cpus += job.resources.cpus * len(job.runs)
+                gpus += job.resources.gpus * len(job.runs)
         return cpus, gpus
 
     def has_unknown_tasks(self) -> bool:
@@ -136,7 +139,7 @@
 
     def estimate_run_s(self, job: OpenJob) -> float:
         if job.spec.kind == JobKind.SERVICE:
-            return SERVICE_LEASES * self.context.lease_s
+            return SERVICE_LEASES * self.context.timing.lease_s
         corrected = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
         return run_estimate(corrected, job.observed_tasks, job.observed_run_s)
 
@@ -160,8 +163,8 @@
             ]:
                 self._add_machine(machine_id, record.machines[machine_id])
         for machine_id in self.unacknowledged:
-            if self.machines[machine_id].fenced:
-                self.machines[machine_id].advance_token(mod_revision)
+            if self.machines[machine_id].fencing.fenced:
+                self.machines[machine_id].fencing.advance_token(mod_revision)
         self.needs_replan = True
 
     def _add_machine(self, machine_id: str, entry: MachineEntry) -> None:
@@ -185,7 +188,7 @@
             self.drop_run(run)
         machine.runs.clear()
         machine.tasks = {}
-        machine.reported_tasks = []
+        machine.heartbeat.reported_tasks = []
         machine.snapshot = None
         self.needs_replan = True
         self.occupancy_due[machine.machine_id] = None
@@ -212,7 +215,7 @@
         until = min(self.context.now, fresh_at)
         for machine_id in self.lease_expiry.due(until):
             machine = self.machines.get(machine_id)
-            if machine is None or not (machine.online or machine.runs):
+            if machine is None or not (machine.heartbeat.online or machine.runs):
                 continue
             if until > self._lease_expires_at(machine):
                 self._on_lease_expired(machine)
@@ -223,7 +226,9 @@
             empty = {
                 machine_id
                 for machine_id in self.unreconciled
-                if until > self.machines[machine_id].last_response_at + self.context.lease_expiry_s
+                if until
+                > self.machines[machine_id].heartbeat.responded_at
+                + self.context.timing.lease_expiry_s
             }
             if empty:
                 log.info("machines proved empty block=%s n=%d", self.shard_id, len(empty))
@@ -233,22 +238,22 @@
     def _lease_expires_at(self, machine: Machine) -> float:
         # A check-in that is about to be answered counts as answered: its reply goes out
         # after this look, and renews the lease.
-        last = max(machine.last_response_at, machine.last_heartbeat_at)
-        if not machine.online:
+        last = max(machine.heartbeat.responded_at, machine.heartbeat.received_at)
+        if not machine.heartbeat.online:
             # Its tasks are known from answers of `/do` alone, which renew no lease; a former
             # holder's answers may have.
-            return max(last + self.context.lease_expiry_s, self.unreachable_empty_at)
-        return last + self.context.lease_expiry_s
+            return max(last + self.context.timing.lease_expiry_s, self.unreachable_empty_at)
+        return last + self.context.timing.lease_expiry_s
 
     def watch_lease(self, machine: Machine) -> None:
         """Look at the machine again once its lease may be over."""
-        if machine.online or machine.runs:
+        if machine.heartbeat.online or machine.runs:
             self.lease_expiry.watch(machine.machine_id, self._lease_expires_at(machine))
 
     def _on_lease_expired(self, machine: Machine) -> None:
         log.info("machine silent machine=%s", machine.machine_id)
-        machine.online = False
-        machine.images.clear()
+        machine.heartbeat.online = False
+        machine.images.cached.clear()
         self.decisions.machine_reachability_changed(machine.machine_id, False)
         self.drop_runs(machine, "lease")
 
@@ -261,12 +266,15 @@
 
     def previous_owners_expired(self) -> bool:
         """The answer window of every earlier holder is over."""
-        return self.context.now > self.acquired_at + self.context.response_window_s * CLOCK_DRIFT
+        return (
+            self.context.now
+            > self.acquired_at + self.context.timing.response_window_s * CLOCK_DRIFT
+        )
 
     def on_previous_owners_ended(self) -> None:
         """The earlier holders' processes are gone: they answer nobody from now on."""
         self.unreachable_empty_at = min(
-            self.unreachable_empty_at, self.context.now + self.context.lease_expiry_s
+            self.unreachable_empty_at, self.context.now + self.context.timing.lease_expiry_s
         )
         self.lease_expiry.clear()
         for machine in self.machines.values():
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -105,14 +105,14 @@
         least: idle, marked already, then with the least running."""
 
         def disturbed(machine: Machine) -> tuple[bool, bool, float]:
-            running = sum(run.resources[0] for run in machine.runs.values())
-            return (not machine.empty, not machine.draining, running)
+            running = sum(run.resources.cpus for run in machine.runs.values())
+            return (not machine.empty, not machine.scale_in.draining, running)
 
         chosen: dict[str, str] = {}
         left = list(own)
         for machine in sorted(shard.machines.values(), key=disturbed):
             cpus = self._cpus(machine)
-            if cpus <= 0 or machine.leaving_shard or not machine.usable:
+            if cpus <= 0 or machine.scale_in.leaving_shard or not machine.usable:
                 continue
             move = max(left, key=lambda m: m.lacking, default=None)
             if move is None or not move.improves(cpus):
@@ -122,9 +122,9 @@
         return chosen
 
     def _set_draining(self, shard: Shard, machine: Machine, leaves: bool) -> None:
-        if machine.draining == leaves:
+        if machine.scale_in.draining == leaves:
             return
-        machine.draining = leaves
+        machine.scale_in.draining = leaves
         machine.snapshot = None
         shard.needs_replan = True
         if leaves:
@@ -139,7 +139,7 @@
             machine = shard.machines[machine_id]
             if not machine.empty:
                 continue
-            machine.leaving_shard = True
+            machine.scale_in.leaving_shard = True
             shard.occupancy_due[machine_id] = None
             shard.bookings.pop(machine_id, None)
             shard.needs_replan = True
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -37,7 +37,7 @@
     change,
     done_before,
 )
-from fallpulley.state.client import Change, RequestPriority, Write
+from fallpulley.state.client import Change, RequestPriority, Write, WriteResult, ignore_result
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
@@ -174,12 +174,12 @@
 
     def _write(self, pending_response: Any, request: SetShares, after: ShareTable) -> None:
         value = msgspec.json.encode(after)
-        if len(value) > self.context.value_bytes:
+        if len(value) > self.context.record_format.value_bytes:
             self._respond_error(pending_response, 422, "refused", "too long for a record")
             return
 
-        def written(status: int | None, revision: int) -> None:
-            if status in (200, 409, None):
+        def on_result(result: WriteResult) -> None:
+            if not result.refused:
                 # Looked at again whatever came: who was first is what the record says.
                 self.watch.when_current(
                     lambda ok: self._respond_with_outcome(pending_response, request, ok),
@@ -192,7 +192,7 @@
         changes = [Change(SHARES_KEY, value)]
         conditions = {SHARES_KEY: self.watch.mod_revision(SHARES_KEY)}
         self.context.state_client.write(
-            Write(conditions, changes, written, RequestPriority.ACCEPT, expires_at=expires_at)
+            Write(conditions, changes, on_result, RequestPriority.ACCEPT, expires_at=expires_at)
         )
 
     def _respond_with_outcome(self, pending_response: Any, request: SetShares, ok: bool) -> None:
@@ -226,7 +226,7 @@
         now = self.context.now
         if now < self._next_look or not self._ready():
             return
-        self._next_look = now + RECONCILE_INTERVALS * self.context.report_s
+        self._next_look = now + RECONCILE_INTERVALS * self.context.timing.report_s
         found = self._targets()
         for shard in self.shards.values():
             if self.session.is_live() and not shard.unreconciled:
@@ -259,7 +259,7 @@
             Write(
                 {SHARES_KEY: self.watch.mod_revision(SHARES_KEY)},
                 [Change(SHARES_KEY, msgspec.json.encode(after))],
-                lambda status, revision: None,
+                ignore_result,
                 RequestPriority.PROGRESS,
                 expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
             )
@@ -301,7 +301,9 @@
     def _shard_state(self, label: str, found: Targets) -> ShardState:
         record, _ = self.registry.shards[label]
         shard = self.shards.get(label)
-        draining = sum(m.draining for m in shard.machines.values()) if shard is not None else None
+        draining = (
+            sum(m.scale_in.draining for m in shard.machines.values()) if shard is not None else None
+        )
         return ShardState(
             label,
             record.owner,
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -195,7 +195,7 @@
         end whether or not that one is there."""
         for shard_id, (record, _) in self.registry.shards.items():
             if not self.registry.owner_alive(record) and self._others_fresher(shard_id):
-                return YIELD_SESSIONS * self.context.session_s
+                return YIELD_SESSIONS * self.context.timing.session_s
         return 0.0
 
     def _others_fresher(self, shard_id: str) -> bool:
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -284,4 +284,6 @@
 
 def _copy(machine: Machine) -> MachineCopy:
     attempts = {run.task_id: run.attempt for run in machine.runs.values()}
-    return MachineCopy(machine.online, machine.entry.occupied, attempts, dict(machine.images))
+    return MachineCopy(
+        machine.heartbeat.online, machine.entry.occupied, attempts, dict(machine.images.cached)
+    )
--- a/fallpulley/standby/takeover.py
+++ b/fallpulley/standby/takeover.py
@@ -34,7 +34,7 @@
         ours = shard.machines.get(machine_id)
         if ours is None:
             continue  # it has left the block since, by the record
-        ours.images.update(machine.images)
+        ours.images.cached.update(machine.images)
         expected.attempts.update(machine.attempts)
     shard.machines = _in_asking_order(shard, state.machines)
     log.info(
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -10,10 +10,11 @@
 from collections import deque
 from collections.abc import Callable
 from enum import IntEnum
+from http import HTTPStatus
 
 import msgspec
 
-from fallpulley.effects import RESPONSE_TOO_LONG, Effect, HttpCall, ResponseHandler
+from fallpulley.effects import RESPONSE_TOO_LONG, Effect, HttpCall, Response, ResponseHandler
 
 log = logging.getLogger(__name__)
 
@@ -35,8 +36,46 @@
 # a renewal or an accept never waits for a burst of lesser ones to be earned back.
 RESERVED_SHARE = {RequestPriority.PROGRESS: 0.4, RequestPriority.READ: 0.2}
 
-# Outcome of a write: 200, 409 (a stamp differed), 503 (not executed), 400, None (unknown).
-WriteCallback = Callable[[int | None, int], None]
+
+class WriteResult(msgspec.Struct, frozen=True):
+    """How a write ended."""
+
+    # 200, 409 (a condition failed), 400 (invalid), 503 (not carried out); None: unknown, it may
+    # still be carried out later.
+    status: int | None
+    revision: int = 0  # of the store, where it was committed
+
+    @property
+    def committed(self) -> bool:
+        """All of its changes are durable."""
+        return self.status == HTTPStatus.OK
+
+    @property
+    def conflicted(self) -> bool:
+        """One of its conditions failed."""
+        return self.status == HTTPStatus.CONFLICT
+
+    @property
+    def invalid(self) -> bool:
+        """It was malformed, or its lease has expired."""
+        return self.status == HTTPStatus.BAD_REQUEST
+
+    @property
+    def unknown(self) -> bool:
+        """No response: it may be carried out, now or later."""
+        return self.status is None
+
+    @property
+    def refused(self) -> bool:
+        """It was not carried out, and not for a failed condition."""
+        return not (self.committed or self.conflicted or self.unknown)
+
+
+WriteCallback = Callable[[WriteResult], None]
+
+
+def ignore_result(result: WriteResult) -> None:
+    """For writes of which the watch shows the outcome."""
 
 
 class Change(msgspec.Struct):
@@ -187,9 +226,9 @@
             reads = self._reads[priority]
             writes = self._writes[priority]
             while reads and reads[0].expires_at < now:
-                reads.popleft().on_response(503, b"", now)
+                reads.popleft().on_response(Response(503, b"", now))
             while writes and writes[0].expires_at < now:
-                writes.popleft().on_result(503, 0)
+                writes.popleft().on_result(WriteResult(503))
             keep = RESERVED_SHARE.get(priority, 0.0)
             least = max(1.0, keep * self.request_budget.capacity)
             while reads and self.request_budget.tokens >= least:
@@ -254,8 +293,8 @@
             }
         )
 
-        def on_response(status: int | None, answer: bytes, sent_at: float) -> None:
-            self._on_transaction_response(group, status, answer)
+        def on_response(response: Response) -> None:
+            self._on_transaction_response(group, response.status, response.body)
 
         self.emit(HttpCall(self.address, "POST", "/txn", body, self.timeout_s, on_response))
 
@@ -277,7 +316,7 @@
                 self._writes[write.priority].appendleft(write)
             for write in group:
                 if failed & set(write.conditions):
-                    write.on_result(409, 0)
+                    write.on_result(WriteResult(409))
             return
         if status == 429:
             # Not carried out: again, in its place, once the budget allows.
@@ -296,4 +335,4 @@
         if status not in (200, 409, 400, None):
             status = 503
         for write in group:
-            write.on_result(status, reply.revision)
+            write.on_result(WriteResult(status, reply.revision))
--- a/fallpulley/state/watch_cache.py
+++ b/fallpulley/state/watch_cache.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from fallpulley.effects import RESPONSE_TOO_LONG
+from fallpulley.effects import RESPONSE_TOO_LONG, Response
 from fallpulley.state.client import RequestPriority, StateClient
 
 log = logging.getLogger(__name__)
@@ -103,8 +103,8 @@
         self._loading = True
         path = f"/store?under={ROOT_PREFIX}&page={PAGE_SIZE}" + (f"&after={after}" if after else "")
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
-            page = _decode(body, _Page) if status == 200 else None
+        def on_response(response: Response) -> None:
+            page = _decode(response.body, _Page) if response.ok else None
             if page is None:
                 self._loading = False
                 self._load_keys = set()
@@ -141,10 +141,10 @@
         wait_s = self.wait_s if self.ready else 0.0
         path = f"/changes?under={ROOT_PREFIX}&after={self.revision}&hold_ms={int(wait_s * 1000)}"
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(response: Response) -> None:
             self._watching = False
-            ok = self._handle_changes(status, body, sent_at)
-            self._next_watch_at = max(now, sent_at) + (self.min_interval_s if ok else 0.4)
+            ok = self._handle_changes(response)
+            self._next_watch_at = max(now, response.sent_at) + (self.min_interval_s if ok else 0.4)
 
         self.client.request(path, on_response, RequestPriority.READ, timeout_s=wait_s + 1.5)
 
@@ -153,9 +153,9 @@
         self._round_in_flight = True
         path = f"/changes?under={ROOT_PREFIX}&after={self.revision}&hold_ms=0"
 
-        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(response: Response) -> None:
             self._round_in_flight = False
-            ok = self._handle_changes(status, body, sent_at)
+            ok = self._handle_changes(response)
             for waiter, _ in waiters:
                 waiter(ok)
 
@@ -167,13 +167,13 @@
             expires_at=now + ROUND_TIMEOUT_SECONDS,
         )
 
-    def _handle_changes(self, status: int | None, body: bytes, sent_at: float) -> bool:
-        if status in (410, RESPONSE_TOO_LONG):
+    def _handle_changes(self, response: Response) -> bool:
+        if response.status in (410, RESPONSE_TOO_LONG):
             # Read again by pages: asked once more, the changes of a long gap are only more.
-            log.info("changes are read anew after=%d status=%d", self.revision, status)
+            log.info("changes are read anew after=%d status=%d", self.revision, response.status)
             self.loaded = self.ready = False
             return False
-        changes = _decode(body, _Changes) if status == 200 else None
+        changes = _decode(response.body, _Changes) if response.ok else None
         if changes is None or not self.loaded:
             return False
         for event in changes.events:
@@ -182,7 +182,7 @@
             elif event.delete is not None:
                 self._apply(event.delete, None, event.mod_revision)
         self.revision = max(self.revision, changes.revision)
-        self.fresh_at = max(self.fresh_at, sent_at)
+        self.fresh_at = max(self.fresh_at, response.sent_at)
         self.ready = True
         return True
 
--- a/fallpulley/workers/heartbeats.py
+++ b/fallpulley/workers/heartbeats.py
@@ -108,7 +108,7 @@
         if (
             machine is None
             or heartbeat.fencing_token > shard.fencing_token
-            or machine.is_stale_copy(heartbeat)
+            or machine.heartbeat.is_stale_copy(heartbeat)
         ):
             # Somebody with a higher token has spoken to it: our copy is behind. Or it is a late
             # copy of a report: an answer must not count as one that its lease goes on with.
@@ -119,14 +119,14 @@
     def _defer(
         self, pending_response: Any, heartbeat: Heartbeat, shard: Shard, machine: Machine
     ) -> None:
-        if heartbeat.fencing_token > machine.fencing_token:
+        if heartbeat.fencing_token > machine.fencing.token:
             # Away and back between two looks of ours: to us it is a machine just granted.
-            machine.fencing_token = shard.fencing_token
-            machine.fenced = False
+            machine.fencing.token = shard.fencing_token
+            machine.fencing.fenced = False
         newer = shard.intake.handle(machine, heartbeat, is_heartbeat=True)
         if heartbeat.address:
             self.writer.addresses[heartbeat.machine_id] = heartbeat.address
-        until = self.context.now + DEFER_INTERVALS * self.context.report_s
+        until = self.context.now + DEFER_INTERVALS * self.context.timing.report_s
         self._arrived.append(DeferredHeartbeat(pending_response, shard, machine, newer, until))
 
     def _redirect(self, pending_response: Any, owner: str | None) -> None:
@@ -212,20 +212,20 @@
             return False
         if not self.is_serving():
             return False  # looked at again: one that waited may have outlived the window
-        if machine.machine_id not in shard.unreconciled or machine.fenced:
+        if machine.machine_id not in shard.unreconciled or machine.fencing.fenced:
             return True
         # It may hold tasks and has not shown that it hears us. An answer may renew its lease, so
         # it gets a few only: a machine that hears nothing would put off the proof that it is
         # empty, and every job accepted before, for ever.
-        if machine.unfenced_responses >= MAX_UNFENCED_RESPONSES:
+        if machine.fencing.unfenced_responses >= MAX_UNFENCED_RESPONSES:
             return False
-        machine.unfenced_responses += 1
+        machine.fencing.unfenced_responses += 1
         return True
 
     def _respond(self, deferred: DeferredHeartbeat) -> None:
         shard, machine = deferred.shard, deferred.machine
         commands: list[TaskCommand] = []
-        if machine.fenced:
+        if machine.fencing.fenced:
             # Also when an answer of `/do` has overtaken the report: the reply renews the
             # lease, so it carries what is to stop.
             commands = shard.commands.pending_commands(machine)
@@ -235,8 +235,8 @@
             )
             if deferred.newer and machine.usable and used and self.watch.ready:
                 commands += self._start_commands(shard, machine)
-        machine.last_response_at = self.context.now
-        body = msgspec.json.encode(HeartbeatResponse(machine.fencing_token, commands))
+        machine.heartbeat.responded_at = self.context.now
+        body = msgspec.json.encode(HeartbeatResponse(machine.fencing.token, commands))
         self.context.respond(deferred.pending_response, 200, body)
 
     def _start_commands(self, shard: Shard, machine: Machine) -> list[TaskCommand]:
@@ -262,8 +262,10 @@
         machine_type = self.registry.machine_types.get(machine.entry.machine_type)
         if machine_type is None:
             return
-        if image not in machine.images:
-            begin = max([self.context.now, *machine.fetching.values()])
-            machine.fetching[image] = begin + size_gb / max(machine_type.fetch_gb_per_s, 1e-3)
+        if image not in machine.images.cached:
+            begin = max([self.context.now, *machine.images.fetching.values()])
+            machine.images.fetching[image] = begin + size_gb / max(
+                machine_type.fetch_gb_per_s, 1e-3
+            )
             shard.decisions.image_cached(machine.machine_id, image, size_gb)
-        machine.cache_image(image, size_gb, machine_type.cache_gb)
+        machine.images.add(image, size_gb, machine_type.cache_gb)
--- a/fallpulley/workers/messages.py
+++ b/fallpulley/workers/messages.py
@@ -11,6 +11,10 @@
 Count = Annotated[int, Meta(ge=0)]  # counts, tokens and attempts lie below 2^64
 
 
+# The epoch of a worker's agent, and the sequence number of a message within it.
+HeartbeatVersion = tuple[int, int]
+
+
 class TaskState(StrEnum):
     """Where a task on a machine stands. Values as in the protocol's field `stage`."""
 
@@ -91,6 +95,11 @@
     preemption_notice_s: float | None = None
     tasks: list[TaskStatus] = []
 
+    @property
+    def version(self) -> HeartbeatVersion:
+        """The message with the larger one is the newer."""
+        return self.agent_epoch, self.sequence
+
 
 class TaskCommand(
     msgspec.Struct,
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -61,6 +61,6 @@
     for number in range(40):
         machine = Machine(f"m{number}", MachineEntry("", "box", "a", False), 1, 0.0)
         for _ in range(12):
-            machine.record_run_time_ratio(2.0 + number / 400)
-        kinds.add(machine.slowness)
+            machine.speed.record(2.0 + number / 400)
+        kinds.add(machine.speed.slowness)
     assert len(kinds) <= 2
--- a/tests/test_day_end.py
+++ b/tests/test_day_end.py
@@ -208,7 +208,7 @@
         assert replay(world, world.holder(), running) == [503]
     held = next(iter(world.controllers[world.holder()].shards.values()))
     # Its lease was over in spite of the copies, and its tasks have room elsewhere.
-    assert dead not in held.machines or not held.machines[dead].online
+    assert dead not in held.machines or not held.machines[dead].heartbeat.online
     world.until(lambda: world.stage(uid) == "done", 90.0)
 
 
@@ -231,7 +231,11 @@
     for host, body in copies.items():
         replay(world, world.holder(), body)
         machine = held.machines[host]
-        assert not machine.fenced and not machine.online and host in held.unreconciled
+        assert (
+            not machine.fencing.fenced
+            and not machine.heartbeat.online
+            and host in held.unreconciled
+        )
     world.cut.clear()
     world.until(lambda: world.stage(uid) == "done", 120.0)
     assert held.machines
@@ -433,10 +437,10 @@
     world.run(3.0)
     held = next(iter(world.controllers[world.holder()].shards.values()))
     pictures = {host: machine.snapshot for host, machine in held.machines.items()}
-    ticks = {host: machine.sequence for host, machine in held.machines.items()}
+    ticks = {host: machine.heartbeat.sequence for host, machine in held.machines.items()}
     token = held.fencing_token
     world.run(3.0)
     assert len(world.running(uid)) == 4 and held.fencing_token == token
     for host, machine in held.machines.items():
-        assert machine.sequence >= ticks[host] + 2  # it went on reporting
+        assert machine.heartbeat.sequence >= ticks[host] + 2  # it went on reporting
         assert machine.snapshot is pictures[host] is not None
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -15,7 +15,7 @@
     target_sizes,
 )
 from fallpulley.cli import main
-from fallpulley.effects import HttpCall
+from fallpulley.effects import HttpCall, Response
 from fallpulley.fleet.messages import MachineType
 from fallpulley.fleet.sizing import DemandGroup, SupplyUnit, size_fleet
 from fallpulley.jobs.messages import JobRecord, parse_submission
@@ -181,15 +181,15 @@
             Write(
                 {name: 0},
                 [Change(name, b"1")],
-                lambda s, _, name=name: outcomes.__setitem__(name, s),  # type: ignore[misc]
+                lambda result, name=name: outcomes.__setitem__(name, result.status),  # type: ignore[misc]
             )
         )
     state.send_queued(0.0)
     (call,) = sent
-    call.on_response(409, b'{"failed":["a"],"ledger":7}', 0.0)
+    call.on_response(Response(409, b'{"failed":["a"],"ledger":7}', 0.0))
     assert outcomes == {"a": 409}
     state.send_queued(1.0)
-    sent[1].on_response(200, b'{"ledger":8}', 1.0)
+    sent[1].on_response(Response(200, b'{"ledger":8}', 1.0))
     assert outcomes == {"a": 409, "b": 200}
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -108,7 +108,7 @@
         answers.append(status)
 
     controller.heartbeats.deferred.append(DeferredHeartbeat(ticket, held, machine, True, 0.0))
-    controller.watch.fresh_at = controller.context.now - controller.context.response_window_s
+    controller.watch.fresh_at = controller.context.now - controller.context.timing.response_window_s
     world.step()
     assert answers == [503] and host in held.machines
 
@@ -432,7 +432,7 @@
     world.run(0.5)
     held = next(iter(world.controllers[world.holder()].shards.values()))
     world.until(lambda: bool(held.machines[dead].runs), 5.0)
-    assert not held.machines[dead].online
+    assert not held.machines[dead].heartbeat.online
     world.workers[dead].hung = True
     world.until(lambda: world.stage(uid) == "done", 90.0)
 
@@ -487,11 +487,14 @@
     world.until(lambda: world.holder() != old, 10.0)
     world.run(4.0)
     held = next(iter(world.controllers[world.holder()].shards.values()))
-    before = (held.machines[host].agent_epoch, held.machines[host].sequence)
+    before = (held.machines[host].heartbeat.agent_epoch, held.machines[host].heartbeat.sequence)
     assert replay(world, world.holder(), body) == [503]
     # As an answer of `/do` that was held up it is no news either.
     held.commands._on_direct_response(held.machines[host], 200, body)
-    assert (held.machines[host].agent_epoch, held.machines[host].sequence) >= before
+    assert (
+        held.machines[host].heartbeat.agent_epoch,
+        held.machines[host].heartbeat.sequence,
+    ) >= before
     world.until(lambda: world.stage(uid) == "done", 60.0)
     assert len(world.starts_seen) == 4
 
@@ -518,7 +521,7 @@
     held = next(iter(world.controllers[world.holder()].shards.values()))
     run = next(iter(held.machines[host].runs.values()))
     late = {
-        "baton": held.machines[host].fencing_token,
+        "baton": held.machines[host].fencing.token,
         "shift": worker.shift,
         "orders": [{"verb": "stop", "piece": run.task_id, "try": run.attempt, "windup_s": 0}],
     }
@@ -536,7 +539,9 @@
     world, uid = busy(4, 300.0)
     held = next(iter(world.controllers[world.holder()].shards.values()))
     for host, machine in held.machines.items():
-        machine.sequence += 60  # as if newer answers of `/do` had come before all its reports
+        machine.heartbeat.sequence += (
+            60  # as if newer answers of `/do` had come before all its reports
+        )
         world.no_direct.add(host)
     cancel(world, "node-1", uid)
     world.until(lambda: not world.running(uid), 2.0)
@@ -670,7 +675,7 @@
     controller = world.controllers[world.holder()]
     (held,) = controller.shards.values()
     machine = next(iter(held.machines.values()))
-    machine.leaving_shard = True
+    machine.scale_in.leaving_shard = True
     world.run(1.0)
     assert machine.usable
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -18,6 +18,7 @@
     remaining_time,
 )
 from fallpulley.placement.profile import Profile
+from fallpulley.resources import Resources
 
 Tasks = st.lists(
     st.tuples(st.integers(1, 8), st.integers(0, 2), st.integers(1, 16), st.integers(1, 30)),
@@ -39,7 +40,7 @@
     profile = Profile(0.0, 8.0, 2.0, 16.0, held)
     booked = [(0.0, end, c, g, m) for end, c, g, m in held]
     for cpus, cards, mem, lasts in queue:
-        need = (float(cpus), float(cards), float(mem))
+        need = Resources(float(cpus), float(cards), float(mem))
         start = profile.earliest(need, float(lasts))
         assert start is not None  # everything ends, so everything fits some time
         profile.book(start, float(lasts), need)
@@ -58,7 +59,7 @@
         "machine_type": "box",
         "zone": "a",
         "spot": False,
-        "capacity": (8.0, 0.0, 32.0),
+        "capacity": Resources(8.0, 0.0, 32.0),
         "fetch_gb_per_s": 1.0,
         "slowness": 1.0,
         "running": [],
@@ -71,7 +72,7 @@
 def pending(name: str, tasks: int = 1, **over: object) -> PendingJob:
     given_ = {
         "job_id": name,
-        "resources": (4.0, 0.0, 4.0),
+        "resources": Resources(4.0, 0.0, 4.0),
         "estimated_run_s": 10.0,
         "task_count": tasks,
         "image": "img",
@@ -100,7 +101,7 @@
 
 def test_a_short_task_backfills_only_where_it_delays_nobody() -> None:
     running = [(20.0, 4.0, 0.0, 4.0)]
-    wide = pending("wide", resources=(8.0, 0.0, 4.0), remaining_s=1.0)
+    wide = pending("wide", resources=Resources(8.0, 0.0, 4.0), remaining_s=1.0)
     fits = pending("fits", estimated_run_s=15.0, remaining_s=5.0)
     delays = pending("delays", estimated_run_s=25.0, remaining_s=5.0)
     assert starts([wide, fits], [snapshot("m", running=running)]) == [("fits", "m")]
@@ -132,7 +133,7 @@
 def test_remaining_time_is_the_length_of_a_list_schedule(tasks: int, machines: int) -> None:
     snapshots = [snapshot(f"m{n}") for n in range(machines)]
     waves = -(-tasks // (2 * machines))
-    found = remaining_time((4.0, 0.0, 4.0), 10.0, tasks, count_shapes(snapshots))
+    found = remaining_time(Resources(4.0, 0.0, 4.0), 10.0, tasks, count_shapes(snapshots))
     assert 10.0 * waves <= found <= 10.0 * waves * 1.02 + 0.1
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fallpulley.balancing.shard_sizes import machines_per_shard
-from fallpulley.effects import RESPONSE_TOO_LONG
+from fallpulley.effects import RESPONSE_TOO_LONG, Response
 from fallpulley.mesh.task_counts import TaskCountRotation
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.fencing import Fencing
@@ -113,7 +113,7 @@
         world.step()
         for controller in world.controllers.values():
             for held in controller.shards.values():
-                asked |= {h for h, m in held.machines.items() if m.next_fence_at > 0}
+                asked |= {h for h, m in held.machines.items() if m.fencing.next_probe_at > 0}
                 whole_turn = whole_turn or set(lost) <= asked
     assert whole_turn
     world.cut.clear()
@@ -131,7 +131,7 @@
     world.crash("node-2")
     world.boot("node-2")
     world.until(lambda: "live/format" in world.state.data, 20.0)
-    world.until(lambda: all(c.context.paged_format for c in world.controllers.values()), 5.0)
+    world.until(lambda: all(c.context.record_format.paged for c in world.controllers.values()), 5.0)
     world.run(10.0)
     world.state.value_bytes, world.state.txn_ops = 2048, 4
     refused = world.state.refusals
@@ -208,7 +208,7 @@
     controller = world.controllers["node-1"]
     assert controller.watch.ready
     (call,) = [c for c in pending_watches(world, "node-1")][:1]
-    call.on_response(RESPONSE_TOO_LONG, b"", world.now)
+    call.on_response(Response(RESPONSE_TOO_LONG, b"", world.now))
     assert not controller.watch.loaded
     world.until(lambda: controller.watch.ready, 5.0)
     assert controller.watch.revision == world.state.ledger
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -274,7 +274,7 @@
     new = next(iter(holder_of(world).shards.values()))
     assert new.corrections.factor("work") == pytest.approx(held.corrections.factor("work"), 1e-3)
     assert new.corrections.factor("work") > 1.0
-    assert all("other" in new.machines[run.machine_id].images for run in held.runs())
+    assert all("other" in new.machines[run.machine_id].images.cached for run in held.runs())
 
 
 @pytest.mark.parametrize("frozen", [False, True])
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -112,7 +112,7 @@
     calls: list[Any] = []
     sender = client.StateClient("state:1", 1000.0, 1000.0, 16, calls.append)
     encoded = [client.Change(k, v and v.encode(), tenure) for k, v, tenure in changes]
-    sender.write(client.Write(conditions, encoded, lambda status, ledger: None))
+    sender.write(client.Write(conditions, encoded, client.ignore_result))
     sender.send_queued(0.0)
     (call,) = calls
     _, method, path, body, *_ = msgspec.structs.astuple(call)
@@ -132,7 +132,7 @@
     context: Any = SimpleNamespace(
         controller_id="node-0",
         now=0.0,
-        session_s=lease["life_ms"] / 1000,
+        timing=SimpleNamespace(session_s=lease["life_ms"] / 1000),
         state_client=SimpleNamespace(request=read),
     )
     watched: Any = SimpleNamespace(ready=True)
