--- /dev/null
+++ b/fallpulley/controller/cancellations.py
@@ -0,0 +1,43 @@
+"""Tells the owners of jobs that they were cancelled here, before the records can reach them."""
+
+from __future__ import annotations
+
+from fallpulley.context import ControllerContext
+from fallpulley.controller.job_sync import JobSync
+from fallpulley.jobs.service import JobService
+from fallpulley.mesh.peers import Peers
+from fallpulley.records.registry import Registry
+
+
+class Cancellations:
+    """A peer that does not hear of a cancellation so sees its record, or stops by its window."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        registry: Registry,
+        jobs: JobService,
+        job_sync: JobSync,
+        peers: Peers,
+    ) -> None:
+        self.context = context
+        self.registry = registry
+        self.jobs = jobs
+        self.job_sync = job_sync
+        self.peers = peers
+
+    def announce(self) -> None:
+        """Pass on what has been cancelled durably since the last call."""
+        by_owner: dict[str, list[str]] = {}
+        for job_id in self.jobs.take_newly_cancelled():
+            owner = self._owner_of(job_id)
+            if owner == self.context.controller_id:
+                self.job_sync.stop_cancelled([job_id])
+            elif owner is not None:
+                by_owner.setdefault(owner, []).append(job_id)
+        for owner, job_ids in by_owner.items():
+            self.peers.send_cancellations(owner, job_ids)
+
+    def _owner_of(self, job_id: str) -> str | None:
+        entry = self.jobs.entries.get(job_id)
+        return self.registry.owner_of(entry.shard_id) if entry is not None else None
--- /dev/null
+++ b/fallpulley/controller/peer_messages.py
@@ -0,0 +1,70 @@
+"""Handles the messages of other controllers."""
+
+from __future__ import annotations
+
+from fallpulley.controller.job_sync import JobSync
+from fallpulley.extensions import Extensions
+from fallpulley.fleet.provider import MachineProvider
+from fallpulley.jobs.messages import JobState
+from fallpulley.jobs.service import JobService
+from fallpulley.membership.leadership import Leadership
+from fallpulley.mesh.messages import Cancellations, PeerHeartbeat
+from fallpulley.mesh.peers import Peers
+from fallpulley.records.registry import Registry
+
+
+class PeerMessageHandler:
+    """Nothing here is needed for safety: any message may be lost, late or repeated."""
+
+    def __init__(
+        self,
+        registry: Registry,
+        jobs: JobService,
+        leadership: Leadership,
+        provider: MachineProvider,
+        peers: Peers,
+        job_sync: JobSync,
+        extensions: Extensions,
+    ) -> None:
+        self.registry = registry
+        self.jobs = jobs
+        self.leadership = leadership
+        self.provider = provider
+        self.peers = peers
+        self.job_sync = job_sync
+        self.extensions = extensions
+
+    def handle(self, body: bytes) -> None:
+        """A message, still encoded. One that nobody understands is dropped."""
+        extension = self.extensions.for_peer_message(body)
+        if extension is not None:
+            extension.on_peer_message(body)
+            return
+        message = self.peers.receive(body)
+        if isinstance(message, Cancellations):
+            self.job_sync.stop_cancelled(message.job_ids)
+        elif message is not None:
+            self._on_heartbeat(message)
+
+    def _on_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
+        for job_id, completed, running in heartbeat.task_counts:
+            entry = self.jobs.entries.get(job_id)
+            if entry is not None and entry.state is JobState.OPEN:
+                self.jobs.task_counts[job_id] = (completed, running)
+        leader = self.registry.leader
+        if leader is not None and heartbeat.incarnation == leader[0].incarnation:
+            self.provider.target_sizes = heartbeat.target_sizes
+        if self.leadership.term is not None:
+            self._scale_out(heartbeat)
+
+    def _scale_out(self, heartbeat: PeerHeartbeat) -> None:
+        """As the leader, rent the machines that the peer asks for."""
+        for request in heartbeat.machine_requests:
+            if request.shard_id in self.registry.shards and request.count > 0:
+                self.provider.scale_out(
+                    request.shard_id,
+                    request.machine_type,
+                    request.zone,
+                    request.spot,
+                    request.count,
+                )
--- /dev/null
+++ b/fallpulley/controller/periodic.py
@@ -0,0 +1,176 @@
+"""What happens by the clock: every step, every tick, and with every heartbeat to the peers."""
+
+from __future__ import annotations
+
+from fallpulley.balancing.balancer import ShardBalancer
+from fallpulley.context import ControllerContext
+from fallpulley.controller.health import Health
+from fallpulley.extensions import Extensions
+from fallpulley.fleet.autoscaler import Autoscaler
+from fallpulley.fleet.provider import MachineProvider
+from fallpulley.jobs.persistence import JobPersistence
+from fallpulley.jobs.service import JobService
+from fallpulley.membership.leadership import Leadership
+from fallpulley.membership.session import SessionLease
+from fallpulley.mesh.messages import MachineRequest
+from fallpulley.mesh.peers import Peers
+from fallpulley.mesh.task_counts import TaskCountRotation
+from fallpulley.placement.planner import Planner
+from fallpulley.records.registry import Registry
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.agent import ShardAgent
+from fallpulley.shards.occupancy import OccupancyFlags
+from fallpulley.shards.owned import OwnedShards
+from fallpulley.state.watch_cache import WatchCache
+from fallpulley.workers.heartbeats import HeartbeatHandler
+
+# Machines, jobs and records are looked over so often within a heartbeat interval.
+TICK_INTERVALS = 1.0 / 15.0
+# All occupancy flags are compared with the machines so often, and else when something changed that
+# they tell of: at every tick it took a tenth of an owner's time.
+OCCUPANCY_INTERVALS = 0.5
+
+
+class PeriodicTasks:
+    """Runs what is due, always in the same order: later tasks act on what earlier ones decided."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        watch: WatchCache,
+        registry: Registry,
+        session: SessionLease,
+        leadership: Leadership,
+        writer: ShardWriter,
+        provider: MachineProvider,
+        autoscaler: Autoscaler,
+        jobs: JobService,
+        persistence: JobPersistence,
+        planner: Planner,
+        occupancy: OccupancyFlags,
+        balancer: ShardBalancer,
+        heartbeats: HeartbeatHandler,
+        peers: Peers,
+        health: Health,
+        owned: OwnedShards,
+        extensions: Extensions,
+    ) -> None:
+        self.context = context
+        self.watch = watch
+        self.registry = registry
+        self.session = session
+        self.leadership = leadership
+        self.writer = writer
+        self.provider = provider
+        self.autoscaler = autoscaler
+        self.jobs = jobs
+        self.persistence = persistence
+        self.planner = planner
+        self.occupancy = occupancy
+        self.balancer = balancer
+        self.heartbeats = heartbeats
+        self.peers = peers
+        self.health = health
+        self.owned = owned
+        self.extensions = extensions
+        self._machine_requests: dict[str, list[MachineRequest]] = {}  # by shard
+        self._task_counts = TaskCountRotation()
+        self._next_tick_at = float("-inf")
+        self._next_occupancy_at = float("-inf")
+
+    def run(self) -> None:
+        """In every step."""
+        self.watch.tick(self.context.now)
+        self.session.tick()
+        for extension in self.extensions:
+            extension.on_step()
+        self.heartbeats.retry_parked()
+        # What looks at every machine and job runs by the clock, not with every batch.
+        if self.context.now < self._next_tick_at:
+            return
+        self._next_tick_at = self.context.now + TICK_INTERVALS * self.context.timing.report_s
+        self.heartbeats.recheck_deferred()
+        self._tick()
+
+    def plan(self) -> None:
+        """In every step, after `run`: place tasks where something changed."""
+        if self.watch.ready and self.planner.plan(self.owned.agents):
+            self.heartbeats.recheck_deferred()
+
+    def _tick(self) -> None:
+        self.leadership.tick()
+        term = self.leadership.term
+        for extension in self.extensions:
+            extension.on_leadership_checked()
+        if term is not None:
+            self.provider.tick(term)
+        occupancy_due = self.context.now >= self._next_occupancy_at
+        if occupancy_due:
+            interval_s = OCCUPANCY_INTERVALS * self.context.timing.report_s
+            self._next_occupancy_at = self.context.now + interval_s
+        for agent in self.owned.agents.values():
+            self._tick_shard(agent, occupancy_due, term is not None)
+        for extension in self.extensions:
+            extension.on_shards_checked()
+        self.writer.tick()
+        if self.peers.is_due():
+            self._exchange_with_peers(term is not None)
+
+    def _tick_shard(self, agent: ShardAgent, occupancy_due: bool, leading: bool) -> None:
+        shard = agent.shard
+        agent.lease_expiry.expire(self.watch.fresh_at)
+        agent.stop_broken_gangs()
+        self.balancer.hand_off_if_unheard(shard)
+        if occupancy_due:
+            self.occupancy.update_all(shard)
+        elif shard.occupancy_due:
+            self.occupancy.update_due(shard)
+        if shard.unreconciled:
+            agent.fencing.tick(self.writer.addresses)
+        self._request_revisions(agent)
+        self.persistence.tick(shard, self.jobs.cancelled_with_dependencies.get(shard.shard_id, {}))
+        if self.session.is_live():
+            self._scale(agent, leading)
+
+    def _request_revisions(self, agent: ShardAgent) -> None:
+        """Have the shard's record written anew where it should be, changed or not."""
+        shard = agent.shard
+        if shard.previous_owners_expired():
+            self.writer.sole_owners.add(shard.shard_id)
+        outdated = (
+            self.context.record_format.compact
+            and shard.shard_id in self.registry.first_format_shards
+        )
+        if shard.needs_new_revision or outdated:
+            self.writer.needs_new_revision.add(shard.shard_id)
+
+    def _scale(self, agent: ShardAgent, leading: bool) -> None:
+        if agent.shard.unreconciled and leading:
+            self.autoscaler.confirm_unreachable_gone(agent.shard)
+        machine_requests = self.autoscaler.tick(agent.shard, leading)
+        if machine_requests:
+            self._machine_requests[agent.shard.shard_id] = machine_requests
+
+    def _exchange_with_peers(self, leading: bool) -> None:
+        task_counts = self._current_task_counts()
+        if leading:
+            self.provider.target_sizes = self.balancer.target_sizes()
+        if not self.extensions.balance_shards:
+            self.balancer.rebalance(self.owned.shards)
+        machine_requests = [
+            request for requests in self._machine_requests.values() for request in requests
+        ]
+        self.peers.tick(
+            self.health.staleness_s(), task_counts, machine_requests, self.provider.target_sizes
+        )
+        self._machine_requests = {}
+
+    def _current_task_counts(self) -> list[tuple[str, int, int]]:
+        """Completed and running tasks of owned jobs, as many as one heartbeat takes."""
+        task_counts = {}
+        for shard in self.owned.shards.values():
+            for job in shard.jobs.values():
+                if not job.cancelled:
+                    task_counts[job.job_id] = (job.completed_count, len(job.runs))
+        self.jobs.task_counts.update(task_counts)
+        return self._task_counts.next_entries(task_counts)
--- /dev/null
+++ b/fallpulley/controller/record_dispatch.py
@@ -0,0 +1,55 @@
+"""Passes each change of a shared record to the parts that it concerns."""
+
+from __future__ import annotations
+
+from fallpulley.context import ControllerContext
+from fallpulley.controller.job_sync import JobSync
+from fallpulley.controller.shard_lifecycle import ShardLifecycle
+from fallpulley.extensions import Extensions
+from fallpulley.jobs.service import JOB_PREFIX
+from fallpulley.records.registry import FORMAT_KEY, SESSION_PREFIX, Registry
+
+
+class RecordDispatcher:
+    """Called by the watch cache for every key, in the order of the store's revisions."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        registry: Registry,
+        job_sync: JobSync,
+        lifecycle: ShardLifecycle,
+        extensions: Extensions,
+    ) -> None:
+        self.context = context
+        self.registry = registry
+        self.job_sync = job_sync
+        self.lifecycle = lifecycle
+        self.extensions = extensions
+
+    def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
+        """A record was written; None: deleted."""
+        if key.startswith(JOB_PREFIX):
+            self.job_sync.on_record(key[len(JOB_PREFIX) :], value, mod_revision)
+            return
+        extension = self.extensions.watching(key)
+        if extension is not None:
+            extension.on_key_changed(key, value, mod_revision)
+            return
+        self._on_control_record(key, value, mod_revision)
+
+    def _on_control_record(self, key: str, value: bytes | None, mod_revision: int) -> None:
+        """A record of sessions, leadership, shards or machines."""
+        owners = self.registry.owners()
+        shard_id = self.registry.on_key_changed(key, value, mod_revision)
+        if shard_id is not None:
+            self.lifecycle.on_record(shard_id, owners.get(shard_id))
+            self.lifecycle.update_change_share()
+        elif key.startswith(SESSION_PREFIX):
+            self.lifecycle.check_previous_owners()
+            if value is not None:
+                for extension in self.extensions:
+                    extension.on_session_began(key[len(SESSION_PREFIX) :])
+        elif key == FORMAT_KEY:
+            self.context.record_format.adopt(self.registry.record_format)
+            self.lifecycle.update_change_share()
--- /dev/null
+++ b/fallpulley/controller/shard_lifecycle.py
@@ -0,0 +1,119 @@
+"""Begins and ends this controller's ownership of shards, as the records show it."""
+
+from __future__ import annotations
+
+import logging
+
+from fallpulley.balancing.shard_sizes import change_share
+from fallpulley.context import ControllerContext
+from fallpulley.controller.job_sync import JobSync
+from fallpulley.extensions import Extensions
+from fallpulley.records.registry import Registry
+from fallpulley.records.shard_record import PreviousOwner, ShardRecord
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.agent import ShardAgent
+from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.shard import Shard
+
+log = logging.getLogger(__name__)
+
+
+class ShardLifecycle:
+    """What happens when a shard is acquired, changes, is lost, or is ours alone."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        registry: Registry,
+        writer: ShardWriter,
+        owned: OwnedShards,
+        job_sync: JobSync,
+        extensions: Extensions,
+    ) -> None:
+        self.context = context
+        self.registry = registry
+        self.writer = writer
+        self.owned = owned
+        self.job_sync = job_sync
+        self.extensions = extensions
+        # Of shards that we own: owners before us that are not known to have ended.
+        self._previous_owners: dict[str, list[PreviousOwner]] = {}
+
+    def on_record(self, shard_id: str, previous: PreviousOwner | None) -> None:
+        """A shard's record has changed; `previous` owned it before the change, if anybody did."""
+        entry = self.registry.shards.get(shard_id)
+        if entry is None or not self._is_ours(entry[0]):
+            self._lose(shard_id)
+            return
+        record, mod_revision = entry
+        shard = self.owned.shards.get(shard_id)
+        if shard is None:
+            self._acquire(shard_id, record, mod_revision, previous)
+            return
+        shard.apply_record(record, mod_revision)
+        for extension in self.extensions:
+            extension.on_shard_updated(shard)
+
+    def _is_ours(self, record: ShardRecord) -> bool:
+        context = self.context
+        return (record.owner, record.incarnation) == (context.controller_id, context.incarnation)
+
+    def _acquire(
+        self,
+        shard_id: str,
+        record: ShardRecord,
+        mod_revision: int,
+        previous: PreviousOwner | None,
+    ) -> None:
+        shard = Shard(self.context, shard_id, record, mod_revision, fresh=previous is None)
+        self.owned.add(ShardAgent(self.context, shard))
+        self._previous_owners[shard_id] = record.previous_owners
+        log.info(
+            "shard acquired shard=%s token=%d machines=%d from=%s",
+            shard_id,
+            mod_revision,
+            len(record.machines),
+            previous.controller_id if previous is not None else None,
+        )
+        self.job_sync.add_open_jobs(shard)
+        for extension in self.extensions:
+            extension.on_shard_acquired(shard, previous)
+        self.check_previous_owners()
+
+    def _lose(self, shard_id: str) -> None:
+        shard = self.owned.shards.get(shard_id)
+        if shard is None:
+            return
+        log.info("shard lost shard=%s token=%d", shard_id, shard.fencing_token)
+        self.owned.remove(shard_id)
+        self.writer.forget_shard(shard_id)
+        for extension in self.extensions:
+            extension.on_shard_lost(shard_id)
+
+    def check_previous_owners(self) -> None:
+        """Once every previous owner's process has ended, nobody else responds to a shard's
+        machines."""
+        for shard_id, agent in self.owned.agents.items():
+            previous_owners = self._previous_owners.get(shard_id)
+            if not agent.shard.unreconciled or previous_owners is None:
+                continue
+            if all(self._has_ended(previous) for previous in previous_owners):
+                agent.lease_expiry.on_previous_owners_ended()
+                del self._previous_owners[shard_id]
+
+    def _has_ended(self, previous: PreviousOwner) -> bool:
+        context = self.context
+        return self.registry.has_ended(previous, context.controller_id, context.incarnation)
+
+    def update_change_share(self) -> None:
+        """Owners write most of all changes.
+
+        A version in production that knows equal shares alone may run until the compact format is
+        adopted.
+        """
+        if not self.context.record_format.compact:
+            return
+        owners = {record.owner for record, _ in self.registry.shards.values()}
+        nodes = max(1, self.context.settings.facts.nodes)
+        share = change_share(self.context.controller_id, owners, nodes)
+        self.context.state_client.change_budget.set_share(share)
--- /dev/null
+++ b/fallpulley/controller/wiring.py
@@ -0,0 +1,185 @@
+"""Puts a controller together: what each part is given, and which extensions are turned on."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from fallpulley.balancing.balancer import ShardBalancer
+from fallpulley.context import ControllerContext
+from fallpulley.controller.cancellations import Cancellations
+from fallpulley.controller.health import Health
+from fallpulley.controller.job_sync import JobSync
+from fallpulley.controller.peer_messages import PeerMessageHandler
+from fallpulley.controller.periodic import PeriodicTasks
+from fallpulley.controller.record_dispatch import RecordDispatcher
+from fallpulley.controller.router import Router
+from fallpulley.controller.shard_lifecycle import ShardLifecycle
+from fallpulley.extensions import Extensions
+from fallpulley.fleet.autoscaler import Autoscaler
+from fallpulley.fleet.provider import MachineProvider
+from fallpulley.jobs.persistence import JobPersistence
+from fallpulley.jobs.service import JobService
+from fallpulley.membership.leadership import Leadership
+from fallpulley.membership.session import SessionLease
+from fallpulley.mesh.peers import Peers
+from fallpulley.placement.planner import Planner
+from fallpulley.records.registry import Registry
+from fallpulley.records.writer import ShardWriter
+from fallpulley.settings import Settings
+from fallpulley.shards.occupancy import OccupancyFlags
+from fallpulley.shards.owned import OwnedShards
+from fallpulley.state.watch_cache import WatchCache
+from fallpulley.workers.heartbeats import HeartbeatHandler
+
+# A watch returns at least so often within a session: its return proves the copy fresh.
+WATCHES_PER_SESSION = 3.0
+# Of this controller's share of the requests to the state service, what watches may take.
+WATCH_REQUEST_SHARE = 0.5
+MIN_WATCH_INTERVAL_SECONDS = 0.05
+
+
+@dataclass(frozen=True)
+class ControllerParts:
+    """The parts of one controller, each given at its construction what it needs of others."""
+
+    context: ControllerContext
+    watch: WatchCache
+    registry: Registry
+    owned: OwnedShards
+    extensions: Extensions
+    session: SessionLease
+    leadership: Leadership
+    writer: ShardWriter
+    jobs: JobService
+    job_sync: JobSync
+    provider: MachineProvider
+    planner: Planner
+    peers: Peers
+    health: Health
+    heartbeats: HeartbeatHandler
+    cancellations: Cancellations
+    peer_messages: PeerMessageHandler
+    router: Router
+    periodic: PeriodicTasks
+
+
+def build_parts(
+    settings: Settings, incarnation: str, clock: Callable[[], float]
+) -> ControllerParts:
+    """All parts of a controller, before its first step."""
+    context = ControllerContext(settings, incarnation, clock)
+    watch = _build_watch(context)
+    registry = Registry()
+    owned = OwnedShards()
+    extensions = Extensions()
+    session = SessionLease(context, watch)
+    leadership = Leadership(context, watch, registry, session, extensions)
+    writer = ShardWriter(context, watch, registry)
+    jobs = JobService(context, watch, registry, extensions.shard_of_team)
+    provider = MachineProvider(
+        context, watch, registry, writer, extensions.action_guard, extensions.shard_for_rental
+    )
+    peers = Peers(context)
+    health = Health(context, watch, session, peers)
+    planner = Planner(context, registry, jobs)
+    job_sync = JobSync(jobs, owned)
+    heartbeats = HeartbeatHandler(
+        context, watch, registry, leadership, writer, provider, owned, health.is_serving
+    )
+    lifecycle = ShardLifecycle(context, registry, writer, owned, job_sync, extensions)
+    dispatcher = RecordDispatcher(context, registry, job_sync, lifecycle, extensions)
+    watch.subscribe(dispatcher.on_key_changed)
+    periodic = PeriodicTasks(
+        context,
+        watch,
+        registry,
+        session,
+        leadership,
+        writer,
+        provider,
+        Autoscaler(context, registry, writer, provider),
+        jobs,
+        JobPersistence(context),
+        planner,
+        OccupancyFlags(context, writer),
+        ShardBalancer(context, registry, session, leadership, writer, provider, jobs, peers),
+        heartbeats,
+        peers,
+        health,
+        owned,
+        extensions,
+    )
+    parts = ControllerParts(
+        context=context,
+        watch=watch,
+        registry=registry,
+        owned=owned,
+        extensions=extensions,
+        session=session,
+        leadership=leadership,
+        writer=writer,
+        jobs=jobs,
+        job_sync=job_sync,
+        provider=provider,
+        planner=planner,
+        peers=peers,
+        health=health,
+        heartbeats=heartbeats,
+        cancellations=Cancellations(context, registry, jobs, job_sync, peers),
+        peer_messages=PeerMessageHandler(
+            registry, jobs, leadership, provider, peers, job_sync, extensions
+        ),
+        router=Router(context, health, jobs, heartbeats, extensions),
+        periodic=periodic,
+    )
+    _add_extensions(parts)
+    return parts
+
+
+def _build_watch(context: ControllerContext) -> WatchCache:
+    facts = context.settings.facts
+    min_interval_s = max(1, facts.nodes) / (WATCH_REQUEST_SHARE * facts.state.rps)
+    return WatchCache(
+        context.state_client,
+        context.timing.session_s / WATCHES_PER_SESSION,
+        max(MIN_WATCH_INTERVAL_SECONDS, min_interval_s),
+    )
+
+
+def _add_extensions(parts: ControllerParts) -> None:
+    """Only a controller that is to have an extension imports it."""
+    operators = parts.context.settings.operators
+    if operators.standby.enabled:
+        from fallpulley.standby.service import Standby
+
+        parts.extensions.add(Standby(parts.context, parts.registry, parts.peers.send))
+    if operators.shares.enabled:
+        from fallpulley.shares.service import SharesService
+
+        parts.extensions.add(
+            SharesService(
+                parts.context,
+                parts.watch,
+                parts.registry,
+                parts.session,
+                parts.leadership,
+                parts.writer,
+                parts.jobs,
+                parts.owned,
+            )
+        )
+    if operators.duties.enabled:
+        from fallpulley.duties.service import DutiesService
+
+        parts.extensions.add(
+            DutiesService(
+                parts.context,
+                parts.watch,
+                parts.registry,
+                parts.session,
+                parts.leadership,
+                parts.provider,
+                parts.owned,
+            )
+        )
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -28,11 +28,14 @@
     intent_key,
 )
 from fallpulley.duties.registry import DutyRegistry
+from fallpulley.extensions import Extension
 from fallpulley.fleet.messages import RentalRequest
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
 from fallpulley.records.registry import LEADER_KEY, SHARD_PREFIX, Registry
+from fallpulley.records.shard_record import PreviousOwner
+from fallpulley.shards.owned import OwnedShards
 from fallpulley.shards.shard import Shard
 from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
@@ -47,7 +50,7 @@
 MAX_INTENT_SHARE = 0.5
 
 
-class DutiesService:
+class DutiesService(Extension):
     """The only part of the package that the controller knows."""
 
     def __init__(
@@ -58,7 +61,7 @@
         session: SessionLease,
         leadership: Leadership,
         provider: MachineProvider,
-        shard: dict[str, Shard],
+        owned: OwnedShards,
     ) -> None:
         self.context = context
         self.watch = watch
@@ -66,7 +69,8 @@
         self.session = session
         self.leadership = leadership
         self.provider = provider
-        self.shards = shard
+        self.owned = owned
+        self.action_guard = self
         self.registry_of_duties = DutyRegistry()
         self._intent_count = 0
         self._intents_in_flight: set[str] = (
@@ -78,8 +82,7 @@
 
     # -- records ---------------------------------------------------------------------------
 
-    @staticmethod
-    def owns_key(key: str) -> bool:
+    def watches(self, key: str) -> bool:
         """Whether the record is one of duties."""
         return key.startswith((DUTY_PREFIX, INTENT_PREFIX))
 
@@ -93,7 +96,7 @@
 
     def _mark_release_decided(self, machine_id: str) -> None:
         """Nobody places on a machine that may be returned at any moment."""
-        shard = self.shards.get(self.registry.shard_of_machine.get(machine_id, ""))
+        shard = self.owned.shards.get(self.registry.shard_of_machine.get(machine_id, ""))
         machine = shard.machines.get(machine_id) if shard is not None else None
         if shard is None or machine is None:
             return
@@ -101,7 +104,11 @@
         shard.bookings.pop(machine_id, None)
         shard.needs_replan = True
 
-    def shard_acquired(self, shard: Shard) -> None:
+    def on_shard_acquired(self, shard: Shard, previous: PreviousOwner | None) -> None:
+        """Some of the shard's machines may be about to be released."""
+        self.on_shard_updated(shard)
+
+    def on_shard_updated(self, shard: Shard) -> None:
         """A block is ours from now on; some of its machines may be on their way back."""
         for machine_id in self.registry_of_duties.returning.keys() & shard.machines.keys():
             shard.machines[machine_id].scale_in.release_decided = True
@@ -123,7 +130,7 @@
         """We certainly do the duty now."""
         return self.token(name) is not None
 
-    def tick(self) -> None:
+    def on_leadership_checked(self) -> None:
         """Take what is free as the leader, and go on with what predecessors have left open."""
         for what, revision in list(self._visible_from.items()):
             if self.watch.revision >= revision:
@@ -225,7 +232,7 @@
             if label is None:
                 batch.append(machine_id)
                 continue
-            shard = self.shards.get(label)
+            shard = self.owned.shards.get(label)
             decided = shard is not None and shard.machines[machine_id].scale_in.release_decided
             if shard is None or not (decided or machine_id in shard.unreconciled):
                 self.provider.release_requested.discard(
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -10,7 +10,7 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response, ResponseHandler
-from fallpulley.fleet.action_guard import ActionGuard, PermitAll
+from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.messages import (
     LIST_PAGE_SIZE,
     MAX_RELEASED_MACHINES,
@@ -55,8 +55,15 @@
 
 class MachineProvider:
     def __init__(
-        self, context: ControllerContext, watch: WatchCache, registry: Registry, writer: ShardWriter
+        self,
+        context: ControllerContext,
+        watch: WatchCache,
+        registry: Registry,
+        writer: ShardWriter,
+        action_guard: Callable[[], ActionGuard],
+        shard_for_rental: Callable[[str], str],
     ) -> None:
+        """`shard_for_rental`: the shard that gets machines rented for the one named."""
         self.context = context
         self.watch = watch
         self.registry = registry
@@ -72,9 +79,8 @@
             str, tuple[RentalRequest, str]
         ] = {}  # rental requests without an answer yet
         self.answered_at = float("-inf")  # when the cloud last answered a rental request
-        self.action_guard: ActionGuard = PermitAll()
-        # The block that rented machines go to, by the one that asked for them.
-        self.shard_for_rental: Callable[[str], str] = lambda asked_for: asked_for
+        self._action_guard = action_guard
+        self.shard_for_rental = shard_for_rental
         self._request_count = 0
         self._term = 0
         self._term_began_at = float("-inf")  # when our term began
@@ -89,6 +95,11 @@
         self._rentals_in_flight: set[str] = set()
         self._retry_at: dict[str, float] = {}
 
+    @property
+    def action_guard(self) -> ActionGuard:
+        """Permits actions on machines, and is told how they ended."""
+        return self._action_guard()
+
     def tick(self, term: int) -> None:
         """`term`: the stamp of our leadership; only called while it certainly lasts."""
         now = self.context.now
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -52,7 +52,14 @@
 
 
 class JobService:
-    def __init__(self, context: ControllerContext, watch: WatchCache, registry: Registry) -> None:
+    def __init__(
+        self,
+        context: ControllerContext,
+        watch: WatchCache,
+        registry: Registry,
+        shard_of_team: Callable[[str], str | None],
+    ) -> None:
+        """`shard_of_team`: the shard for a team's new jobs; None: whichever has the least work."""
         self.context = context
         self.watch = watch
         self.registry = registry
@@ -65,12 +72,21 @@
         self.cancelled_with_dependencies: dict[str, dict[str, JobEntry]] = {}
         # Jobs that others' records have made ready, withdrawn or more urgent, for the owner to act.
         self.affected_jobs: set[str] = set()
-        # The block that a team's new jobs go to; None: whichever has the least work.
-        self.shard_of_team: Callable[[str], str | None] = lambda team: None
+        self.shard_of_team = shard_of_team
         self.newly_cancelled: list[str] = []  # cancellations just made durable here
 
     # -- records ---------------------------------------------------------------------------
 
+    def take_affected_jobs(self) -> set[str]:
+        """Jobs for which others' records have changed what holds, since the last call."""
+        affected, self.affected_jobs = self.affected_jobs, set()
+        return affected
+
+    def take_newly_cancelled(self) -> list[str]:
+        """Jobs whose cancellation was made durable here since the last call."""
+        newly_cancelled, self.newly_cancelled = self.newly_cancelled, []
+        return newly_cancelled
+
     def on_record(self, job_id: str, value: bytes | None, mod_revision: int) -> JobEntry | None:
         """A job's record as the watch brings it; returns what is known of it now."""
         if value is None:
--- a/fallpulley/membership/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -4,7 +4,7 @@
 
 import itertools
 import logging
-from collections.abc import Callable
+from typing import Protocol
 
 import msgspec
 
@@ -29,6 +29,16 @@
 HAND_BACK_LEASES = 2.0
 
 
+class LeadershipPolicy(Protocol):
+    """What others want of leadership."""
+
+    def hold_off_s(self) -> float:
+        """How long to leave a free leadership to others, in seconds."""
+
+    def shards_to_open(self) -> list[str]:
+        """Controllers that are to have a shard whether or not the machines need one."""
+
+
 class Leadership:
     """Every step is one transaction, conditioned on what it was decided on: the old holder's
     session key as it was seen (gone, or replaced by a newer process), the block's stamp and
@@ -40,8 +50,10 @@
         watch: WatchCache,
         registry: Registry,
         session: SessionLease,
+        policy: LeadershipPolicy,
     ) -> None:
         self.context = context
+        self.policy = policy
         self.watch = watch
         self.registry = registry
         self.session = session
@@ -52,10 +64,6 @@
         self._writes_in_flight: dict[str, float] = {}
         self._without_shard_since: tuple[str, float] | None = None
         self._leaderless_since: float | None = None
-        # How long to leave a free lead to others (warm standby).
-        self.hold_off_s: Callable[[], float] = lambda: 0.0
-        # Blocks that are to be open besides those that the machines need, named by controllers.
-        self.shards_to_open: Callable[[], list[str]] = list
 
     @property
     def term(self) -> int | None:
@@ -100,11 +108,11 @@
     def _leadership_is_free(self) -> bool:
         """Nobody leads, and whoever should go first has had the time."""
         since = self._leaderless_since
-        return since is not None and self.context.now >= since + self.hold_off_s()
+        return since is not None and self.context.now >= since + self.policy.hold_off_s()
 
     def _open_needed_shards(self) -> None:
         """Open as many blocks as the machines need, for controllers that hold none."""
-        for named in self.shards_to_open():
+        for named in self.policy.shards_to_open():
             self._open_shard(named, named)
         shards = self.registry.shards
         machines = sum(len(record.machines) for record, _ in shards.values())
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -6,7 +6,7 @@
 from fallpulley.jobs.service import JobService
 from fallpulley.placement.queue import plan_shard
 from fallpulley.records.registry import Registry
-from fallpulley.shards.shard import Shard
+from fallpulley.shards.agent import ShardAgent
 
 # The next plan waits so many times what the last one took: a twentieth of the time is for
 # planning. Where that would be longer than a part of a report interval, room would stand idle for
@@ -31,27 +31,28 @@
         self.ready_at = float("-inf")  # the next plan is made from then on
         self._replan_at = float("-inf")
 
-    def plan(self, shards: dict[str, Shard]) -> bool:
+    def plan(self, agents: dict[str, ShardAgent]) -> bool:
         """Plan the blocks that need it, if it is time; says whether any was."""
         now = self.context.now
         if now < self.ready_at:
             return False
         replan = now >= self._replan_at
         began = self.context.clock()
-        planned = [shard for shard in shards.values() if shard.needs_replan or replan]
-        for shard in planned:
-            self._plan_one(shard)
+        planned = [agent for agent in agents.values() if agent.shard.needs_replan or replan]
+        for agent in planned:
+            self._plan_one(agent)
         if planned:
             self._space(self.context.clock() - began)
         return bool(planned)
 
-    def _plan_one(self, shard: Shard) -> None:
+    def _plan_one(self, agent: ShardAgent) -> None:
+        shard = agent.shard
         shard.needs_replan = False
         decision = plan_shard(shard, self.context, self.registry, self.jobs.teams)
         shard.bookings = decision.starts
         for preemption in decision.stops:
-            shard.commands.preempt(preemption.machine_id, preemption.task_ids)
-        self._prompt_reports(shard)
+            agent.commands.preempt(preemption.machine_id, preemption.task_ids)
+        self._prompt_reports(agent)
 
     def _space(self, took_s: float) -> None:
         report_s = self.context.timing.report_s
@@ -60,13 +61,13 @@
         self.ready_at = self.context.now + wait_s
         self._replan_at = self.context.now + REPLAN_REPORTS * report_s
 
-    def _prompt_reports(self, shard: Shard) -> None:
+    def _prompt_reports(self, agent: ShardAgent) -> None:
         """Machines with new bookings are asked to report now instead of when it is their turn."""
         soon = self.context.now + PROMPT_REPORTS * self.context.timing.report_s
-        for machine_id in shard.bookings:
-            machine = shard.machines.get(machine_id)
+        for machine_id in agent.shard.bookings:
+            machine = agent.shard.machines.get(machine_id)
             if (
                 machine is not None
                 and machine.heartbeat.received_at + self.context.timing.report_s > soon
             ):
-                shard.commands.prompt_heartbeat(machine)
+                agent.commands.prompt_heartbeat(machine)
--- a/fallpulley/records/registry.py
+++ b/fallpulley/records/registry.py
@@ -218,6 +218,13 @@
         self._processors_by_shape[shard_id] = (mod_revision, found)
         return found
 
+    def owners(self) -> dict[str, PreviousOwner]:
+        """Who owns each shard now."""
+        return {
+            shard_id: PreviousOwner(record.owner, record.incarnation)
+            for shard_id, (record, _) in self.shards.items()
+        }
+
     def owner_of(self, shard_id: str) -> str | None:
         entry = self.shards.get(shard_id)
         return None if entry is None else entry[0].owner
--- /dev/null
+++ b/fallpulley/shards/agent.py
@@ -0,0 +1,36 @@
+"""All that acts on one shard that this controller owns."""
+
+from __future__ import annotations
+
+from fallpulley.context import ControllerContext
+from fallpulley.jobs.open_job import OpenJob
+from fallpulley.shards import job_stops
+from fallpulley.shards.commands import MachineCommands
+from fallpulley.shards.fencing import Fencing
+from fallpulley.shards.heartbeat_intake import HeartbeatIntake
+from fallpulley.shards.lease_expiry import LeaseExpiry
+from fallpulley.shards.shard import Shard
+from fallpulley.workers.machine import Machine
+from fallpulley.workers.messages import Heartbeat
+
+
+class ShardAgent:
+    """Commands the shard's machines, applies what they report, and watches their leases."""
+
+    def __init__(self, context: ControllerContext, shard: Shard) -> None:
+        self.shard = shard
+        self.commands = MachineCommands(context, shard, self._on_direct_status)
+        self.lease_expiry = LeaseExpiry(context, shard)
+        self.intake = HeartbeatIntake(context, shard, self.commands, self.lease_expiry)
+        self.fencing = Fencing(context, shard, self.commands)
+
+    def end_job(self, job: OpenJob, cancelled: bool) -> None:
+        """The job's record is final: nothing of it may start or go on."""
+        job_stops.end_job(self.shard, self.commands, job, cancelled)
+
+    def stop_broken_gangs(self) -> None:
+        """Gangs that lost a task start anew, all of their tasks together."""
+        job_stops.stop_broken_gangs(self.shard, self.commands)
+
+    def _on_direct_status(self, machine: Machine, status: Heartbeat) -> None:
+        self.intake.handle(machine, status, is_heartbeat=False)
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -4,14 +4,15 @@
 
 import logging
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 import msgspec
 
+from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
+from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import (
     DirectCommand,
@@ -23,9 +24,6 @@
     TaskStatus,
 )
 
-if TYPE_CHECKING:
-    from fallpulley.shards.shard import Shard
-
 log = logging.getLogger(__name__)
 
 # A worker counts a higher token as a change once in half a lease.
@@ -35,9 +33,16 @@
 class MachineCommands:
     """Starts, stops and clears tasks, with check-ins' replies or directly."""
 
-    def __init__(self, shard: Shard) -> None:
+    def __init__(
+        self,
+        context: ControllerContext,
+        shard: Shard,
+        on_status: Callable[[Machine, Heartbeat], None],
+    ) -> None:
+        """`on_status` takes the machine's state from a response to a direct command."""
+        self.context = context
         self.shard = shard
-        self.context = shard.context
+        self._on_status = on_status
 
     def start(
         self, machine: Machine, job: OpenJob, booking: Booking, estimate_s: float
@@ -137,7 +142,7 @@
         if heartbeat.machine_id != machine.machine_id:
             return
         if status == 200:
-            self.shard.intake.handle(machine, heartbeat, is_heartbeat=False)
+            self._on_status(machine, heartbeat)
         elif not machine.fencing.fenced and heartbeat.agent_epoch > machine.heartbeat.agent_epoch:
             machine.heartbeat.agent_epoch = heartbeat.agent_epoch
             machine.fencing.next_probe_at = float("-inf")
--- a/fallpulley/shards/fencing.py
+++ b/fallpulley/shards/fencing.py
@@ -3,13 +3,12 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import TYPE_CHECKING
 
+from fallpulley.context import ControllerContext
+from fallpulley.shards.commands import MachineCommands
+from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 
-if TYPE_CHECKING:
-    from fallpulley.shards.shard import Shard
-
 # Of the machine's sockets, those that fences may take at once: a block of thousands of machines is
 # asked in bursts that leave sockets and time for everybody else.
 SOCKET_SHARE = 0.04
@@ -21,9 +20,10 @@
 class Fencing:
     """Asks machines in turn: those that do not answer never keep others from being asked."""
 
-    def __init__(self, shard: Shard) -> None:
+    def __init__(self, context: ControllerContext, shard: Shard, commands: MachineCommands) -> None:
+        self.context = context
         self.shard = shard
-        context = shard.context
+        self.commands = commands
         sockets = context.settings.facts.machine_limits.sockets
         self.max_in_flight = max(MIN_IN_FLIGHT, int(SOCKET_SHARE * sockets))
         self.in_flight = 0
@@ -50,9 +50,9 @@
                 self._probe(machine)
 
     def _may_probe(self, machine: Machine) -> bool:
-        now = self.shard.context.now
+        now = self.context.now
         # One that was told our token with the answer to its own report shows it with the next.
-        told = now < machine.fencing.unfenced_heartbeat_at + self.shard.context.timing.report_s
+        told = now < machine.fencing.unfenced_heartbeat_at + self.context.timing.report_s
         return (
             bool(machine.entry.address)
             and not machine.fencing.probe_in_flight
@@ -63,7 +63,7 @@
     def _probe(self, machine: Machine) -> None:
         machine.fencing.probe_in_flight = True
         machine.fencing.next_probe_at = (
-            self.shard.context.now + RETRY_INTERVALS * self.shard.context.timing.report_s
+            self.context.now + RETRY_INTERVALS * self.context.timing.report_s
         )
         self.in_flight += 1
 
@@ -72,4 +72,4 @@
             machine.fencing.probe_in_flight = False
             machine.fencing.probe_failures += status not in (200, 409)
 
-        self.shard.commands.send_direct(machine, [], answered)
+        self.commands.send_direct(machine, [], answered)
--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -3,32 +3,40 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
+from fallpulley.context import ControllerContext
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open_job import OpenJob
+from fallpulley.shards.commands import MachineCommands
+from fallpulley.shards.lease_expiry import LeaseExpiry
+from fallpulley.shards.shard import Shard
 from fallpulley.workers.heartbeat_changes import HeartbeatChanges, apply_heartbeat
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import START_REFUSALS, ExitReason, Heartbeat, TaskState, TaskStatus
 
-if TYPE_CHECKING:
-    from fallpulley.shards.shard import Shard
-
 log = logging.getLogger(__name__)
 
 
 class HeartbeatIntake:
     """Takes reports in, from check-ins and from answers to direct commands."""
 
-    def __init__(self, shard: Shard) -> None:
+    def __init__(
+        self,
+        context: ControllerContext,
+        shard: Shard,
+        commands: MachineCommands,
+        lease_expiry: LeaseExpiry,
+    ) -> None:
+        self.context = context
         self.shard = shard
-        self.context = shard.context
+        self.commands = commands
+        self.lease_expiry = lease_expiry
 
     def handle(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
         """Take in a report; False when it is not newer than what we know."""
         newer = self._apply(machine, heartbeat, is_heartbeat)
         if newer:
-            self.shard.watch_lease(machine)
+            self.lease_expiry.watch(machine)
         return newer
 
     def _apply(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
@@ -228,4 +236,4 @@
             saves = job.spec.checkpoint_interval_s > 0
             if saves and left > job.spec.checkpoint_save_s + 2 * self.context.timing.report_s:
                 continue  # there is time for more work before saving
-            self.shard.commands.stop(run, left if saves else 0.0)
+            self.commands.stop(run, left if saves else 0.0)
--- /dev/null
+++ b/fallpulley/shards/job_stops.py
@@ -0,0 +1,35 @@
+"""Stops whole jobs: those that have ended, and gangs that lost a task."""
+
+from __future__ import annotations
+
+import logging
+
+from fallpulley.jobs.open_job import OpenJob
+from fallpulley.shards.commands import MachineCommands
+from fallpulley.shards.shard import Shard
+
+log = logging.getLogger(__name__)
+
+
+def end_job(shard: Shard, commands: MachineCommands, job: OpenJob, cancelled: bool) -> None:
+    """The job's record is final: nothing of it may start or go on."""
+    job.cancelled = True
+    shard.needs_replan = True
+    for run in list(job.runs.values()):
+        commands.stop(run, 0.0)
+    if not job.runs:
+        shard.jobs.pop(job.job_id, None)
+    log.info("job ended job=%s cancelled=%s runs=%d", job.job_id, cancelled, len(job.runs))
+
+
+def stop_broken_gangs(shard: Shard, commands: MachineCommands) -> None:
+    """What is left of a gang that lost a task makes room for all of it to start anew."""
+    for job in shard.jobs.values():
+        if not job.gang_restarting:
+            continue
+        if not job.runs:
+            job.gang_restarting = False
+            shard.needs_replan = True
+        for run in job.runs.values():
+            if run.stop_grace_s is None:
+                commands.stop(run, job.spec.checkpoint_save_s)
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -18,11 +18,7 @@
 from fallpulley.placement.plan import Booking
 from fallpulley.records.shard_record import MachineEntry, ShardRecord
 from fallpulley.shards.attempt_numbers import AttemptNumbers
-from fallpulley.shards.commands import MachineCommands
 from fallpulley.shards.decisions import IGNORED_DECISIONS, DecisionSink
-from fallpulley.shards.fencing import Fencing
-from fallpulley.shards.heartbeat_intake import HeartbeatIntake
-from fallpulley.shards.lease_watch import LeaseWatch
 from fallpulley.timing import CLOCK_DRIFT
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import TaskState
@@ -50,11 +46,6 @@
         self.fencing_token = mod_revision
         self.acquired_revision = mod_revision
         self.acquired_at = context.now
-        # Earlier holders may answer their machines until their windows end; a machine that
-        # cannot be reached is empty a lease later.
-        self.unreachable_empty_at = (
-            context.now + context.timing.response_window_s + context.timing.lease_expiry_s
-        )
         self.machines = {
             machine_id: Machine(machine_id, entry, mod_revision, context.now)
             for machine_id, entry in record.machines.items()
@@ -69,10 +60,6 @@
         self.bookings: dict[str, list[Booking]] = {}
         self.needs_replan = True
         self.attempt_numbers = AttemptNumbers(mod_revision)
-        self.fencing = Fencing(self)
-        self.lease_expiry = LeaseWatch()
-        self.commands = MachineCommands(self)
-        self.intake = HeartbeatIntake(self)
         self.last_heartbeat_at = float("-inf")  # when any machine last checked in
         self.needs_new_revision = (
             False  # a newer stamp of the record is wanted, to raise tokens with
@@ -105,16 +92,6 @@
             return False
         return job.mod_revision <= self.acquired_revision
 
-    def end_job(self, job: OpenJob, withdrawn: bool) -> None:
-        """The record is final: nothing of the job may start or go on."""
-        job.cancelled = True
-        self.needs_replan = True
-        for run in list(job.runs.values()):
-            self.commands.stop(run, 0.0)
-        if not job.runs:
-            self.jobs.pop(job.job_id, None)
-        log.info("job ended job=%s withdrawn=%s runs=%d", job.job_id, withdrawn, len(job.runs))
-
     def runs(self) -> Iterator[TaskRun]:
         for machine in self.machines.values():
             yield from machine.runs.values()
@@ -193,70 +170,6 @@
         self.needs_replan = True
         self.occupancy_due[machine.machine_id] = None
 
-    def stop_broken_gangs(self) -> None:
-        """What is left of an ensemble that lost a task makes room for all to start anew."""
-        for job in self.jobs.values():
-            if not job.gang_restarting:
-                continue
-            if not job.runs:
-                job.gang_restarting = False
-                self.needs_replan = True
-            for run in job.runs.values():
-                if run.stop_grace_s is None:
-                    self.commands.stop(run, job.spec.checkpoint_save_s)
-
-    def expire_leases(self, fresh_at: float) -> None:
-        """Machines whose lease is certainly over hold nothing any more.
-
-        A machine that left us may be answered by a new holder while we, cut off from the state
-        service, still serve the rest. Its lease is over only if it ran out before our last look
-        at the records (`fresh_at`), which showed the block as ours.
-        """
-        until = min(self.context.now, fresh_at)
-        for machine_id in self.lease_expiry.due(until):
-            machine = self.machines.get(machine_id)
-            if machine is None or not (machine.heartbeat.online or machine.runs):
-                continue
-            if until > self._lease_expires_at(machine):
-                self._on_lease_expired(machine)
-            else:
-                self.watch_lease(machine)
-        if self.unreconciled and until > self.unreachable_empty_at:
-            # Our own answers renew leases too, even of machines that have not reported since.
-            empty = {
-                machine_id
-                for machine_id in self.unreconciled
-                if until
-                > self.machines[machine_id].heartbeat.responded_at
-                + self.context.timing.lease_expiry_s
-            }
-            if empty:
-                log.info("machines proved empty block=%s n=%d", self.shard_id, len(empty))
-                self.unreconciled -= empty
-                self.needs_replan = True
-
-    def _lease_expires_at(self, machine: Machine) -> float:
-        # A check-in that is about to be answered counts as answered: its reply goes out
-        # after this look, and renews the lease.
-        last = max(machine.heartbeat.responded_at, machine.heartbeat.received_at)
-        if not machine.heartbeat.online:
-            # Its tasks are known from answers of `/do` alone, which renew no lease; a former
-            # holder's answers may have.
-            return max(last + self.context.timing.lease_expiry_s, self.unreachable_empty_at)
-        return last + self.context.timing.lease_expiry_s
-
-    def watch_lease(self, machine: Machine) -> None:
-        """Look at the machine again once its lease may be over."""
-        if machine.heartbeat.online or machine.runs:
-            self.lease_expiry.watch(machine.machine_id, self._lease_expires_at(machine))
-
-    def _on_lease_expired(self, machine: Machine) -> None:
-        log.info("machine silent machine=%s", machine.machine_id)
-        machine.heartbeat.online = False
-        machine.images.cached.clear()
-        self.decisions.machine_reachability_changed(machine.machine_id, False)
-        self.drop_runs(machine, "lease")
-
     def confirm_gone(self, machine_id: str) -> None:
         """The cloud has confirmed that the machine is gone."""
         if machine_id in self.unreconciled:
@@ -271,15 +184,6 @@
             > self.acquired_at + self.context.timing.response_window_s * CLOCK_DRIFT
         )
 
-    def on_previous_owners_ended(self) -> None:
-        """The earlier holders' processes are gone: they answer nobody from now on."""
-        self.unreachable_empty_at = min(
-            self.unreachable_empty_at, self.context.now + self.context.timing.lease_expiry_s
-        )
-        self.lease_expiry.clear()
-        for machine in self.machines.values():
-            self.watch_lease(machine)
-
     def drop_run(self, run: TaskRun) -> None:
         """An attempt is proved gone: its task is to be started again."""
         job = self.jobs.get(run.job_id)
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -9,11 +9,13 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import OperatorRequest
+from fallpulley.extensions import Extension
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
 from fallpulley.records.registry import SHARES_KEY, Registry
 from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.owned import OwnedShards
 from fallpulley.shards.shard import Shard
 from fallpulley.shares.messages import (
     CONTROLLER_ABSENT,
@@ -49,9 +51,12 @@
 RECONCILE_INTERVALS = 0.25
 
 
-class SharesService:
+class SharesService(Extension):
     """The only part of the package that the controller knows."""
 
+    operator_path = "/shares"
+    balances_shards = True
+
     def __init__(
         self,
         context: ControllerContext,
@@ -61,7 +66,7 @@
         leadership: Leadership,
         writer: ShardWriter,
         jobs: JobService,
-        shard: dict[str, Shard],
+        owned: OwnedShards,
     ) -> None:
         self.context = context
         self.watch = watch
@@ -69,7 +74,7 @@
         self.session = session
         self.leadership = leadership
         self.jobs = jobs
-        self.shards = shard
+        self.owned = owned
         self.table = ShareTable()
         self.reconciler = Reconciler(context, registry, writer)
         self.policy = Policy(context.settings.operators.shares)
@@ -80,7 +85,11 @@
 
     # -- the record ------------------------------------------------------------------------
 
-    def on_record(self, value: bytes | None) -> None:
+    def watches(self, key: str) -> bool:
+        """The record of shares."""
+        return key == SHARES_KEY
+
+    def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
         """The record as the watch brings it."""
         if value is None:
             self.table = ShareTable()
@@ -125,7 +134,7 @@
 
     # -- operators' requests ---------------------------------------------------------------
 
-    def request(self, request: OperatorRequest) -> None:
+    def on_operator_request(self, request: OperatorRequest) -> None:
         """`GET /shares` and `POST /shares` on the mesh address."""
         pending_response = request.pending_response
         if request.method == "GET":
@@ -221,14 +230,14 @@
 
     # -- time ------------------------------------------------------------------------------
 
-    def tick(self) -> None:
+    def on_shards_checked(self) -> None:
         """Bring held blocks towards their shares; as the leader, follow the policy."""
         now = self.context.now
         if now < self._next_look or not self._ready():
             return
         self._next_look = now + RECONCILE_INTERVALS * self.context.timing.report_s
         found = self._targets()
-        for shard in self.shards.values():
+        for shard in self.owned.shards.values():
             if self.session.is_live() and not shard.unreconciled:
                 self.reconciler.reconcile(shard, found)
         if self.leadership.term is not None:
@@ -300,7 +309,7 @@
 
     def _shard_state(self, label: str, found: Targets) -> ShardState:
         record, _ = self.registry.shards[label]
-        shard = self.shards.get(label)
+        shard = self.owned.shards.get(label)
         draining = (
             sum(m.scale_in.draining for m in shard.machines.values()) if shard is not None else None
         )
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -6,7 +6,9 @@
 from collections.abc import Callable
 
 from fallpulley.context import ControllerContext
+from fallpulley.extensions import Extension
 from fallpulley.records.registry import Registry
+from fallpulley.records.shard_record import PreviousOwner
 from fallpulley.shards.shard import Shard
 from fallpulley.standby.follower import Followed, Follower, Owner
 from fallpulley.standby.messages import (
@@ -39,9 +41,11 @@
 Send = Callable[[str, bytes], None]
 
 
-class Standby:
+class Standby(Extension):
     """The only part of the package that the controller knows."""
 
+    peer_message_prefix = b'["standby_'
+
     def __init__(self, context: ControllerContext, registry: Registry, send: Send) -> None:
         self.context = context
         self.registry = registry
@@ -69,13 +73,13 @@
 
     # -- events of the controller ----------------------------------------------------------
 
-    def shard_acquired(self, shard: Shard, previous: tuple[str, str] | None) -> None:
+    def on_shard_acquired(self, shard: Shard, previous: PreviousOwner | None) -> None:
         """The block is ours from now on. `previous`: label and process of its last holder."""
         followed = self.follower.shards.pop(shard.shard_id, None)
         self._replaced.discard(shard.shard_id)
         self.expected.pop(shard.shard_id, None)
         if followed is not None and followed.replica is not None:
-            if previous == (followed.owner, followed.incarnation):
+            if previous == PreviousOwner(followed.owner, followed.incarnation):
                 self.expected[shard.shard_id] = seed(shard, followed.replica)
         elif previous is not None:
             log.info("takeover without replica block=%s", shard.shard_id)
@@ -86,17 +90,17 @@
         shard.decisions = stream.log
         self.streams[shard.shard_id] = stream
 
-    def shard_lost(self, shard_id: str) -> None:
+    def on_shard_lost(self, shard_id: str) -> None:
         """Somebody else holds it."""
         self.streams.pop(shard_id, None)
         self.expected.pop(shard_id, None)
 
-    def session_began(self, controller_id: str) -> None:
+    def on_session_began(self, controller_id: str) -> None:
         """The records show a new process of a controller."""
         for stream in self.streams.values():
             stream.follower_began(controller_id)
 
-    def receive(self, body: bytes) -> None:
+    def on_peer_message(self, body: bytes) -> None:
         """A message from a peer."""
         message = decode(body)
         if message is None:
@@ -141,7 +145,7 @@
 
     # -- time ------------------------------------------------------------------------------
 
-    def tick(self) -> None:
+    def on_step(self) -> None:
         """Send what is due, and see how far replicas are behind."""
         now = self.context.now
         if now < self._next_at:
--- a/fallpulley/state/watch_cache.py
+++ b/fallpulley/state/watch_cache.py
@@ -54,12 +54,14 @@
 KeyChangedHandler = Callable[[str, bytes | None, int], None]
 
 
+def _ignore_change(key: str, value: bytes | None, mod_revision: int) -> None:
+    pass
+
+
 class WatchCache:
-    def __init__(
-        self, client: StateClient, on_key: KeyChangedHandler, wait_s: float, min_interval_s: float
-    ) -> None:
+    def __init__(self, client: StateClient, wait_s: float, min_interval_s: float) -> None:
         self.client = client
-        self.on_key = on_key
+        self._on_key_changed: KeyChangedHandler = _ignore_change
         self.wait_s = wait_s
         self.min_interval_s = min_interval_s
         self.mod_revisions: dict[str, int] = {}
@@ -75,6 +77,10 @@
         self._waiters: list[tuple[Waiter, float]] = []
         self._round_in_flight = False
 
+    def subscribe(self, on_key_changed: KeyChangedHandler) -> None:
+        """Call this for every change, in the order of the store's revisions."""
+        self._on_key_changed = on_key_changed
+
     def mod_revision(self, key: str) -> int:
         """The key's stamp as a condition: 0 where it does not exist."""
         return max(0, self.mod_revisions.get(key, 0))
@@ -193,7 +199,7 @@
             return
         self.mod_revisions[key] = mod_revision if value is not None else -mod_revision
         try:
-            self.on_key(key, value, mod_revision)
+            self._on_key_changed(key, value, mod_revision)
         except Exception:
             # One record must not keep all later ones from being seen, and every job unknown.
             log.exception("record failed key=%s", key)
--- a/fallpulley/workers/heartbeats.py
+++ b/fallpulley/workers/heartbeats.py
@@ -13,6 +13,8 @@
 from fallpulley.membership.leadership import Leadership
 from fallpulley.records.registry import Registry
 from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.agent import ShardAgent
+from fallpulley.shards.owned import OwnedShards
 from fallpulley.shards.shard import Shard
 from fallpulley.state.watch_cache import WatchCache
 from fallpulley.workers.machine import Machine
@@ -40,7 +42,7 @@
     """A check-in of a machine of ours, to be answered after the next plan."""
 
     pending_response: Any
-    shard: Shard
+    agent: ShardAgent
     machine: Machine
     newer: bool  # its report was newer than what we knew
     deadline_at: float
@@ -65,7 +67,7 @@
         leadership: Leadership,
         writer: ShardWriter,
         provider: MachineProvider,
-        shard: dict[str, Shard],
+        owned: OwnedShards,
         serving: Callable[[], bool],
     ) -> None:
         self.context = context
@@ -74,10 +76,11 @@
         self.leadership = leadership
         self.writer = writer
         self.provider = provider
-        self.shards = shard
+        self.owned = owned
         self.is_serving = serving
         self.deferred: list[DeferredHeartbeat] = []  # in the order in which they came
         self._arrived: list[DeferredHeartbeat] = []  # since the last answers
+        self._recheck_deferred = True
         self._parked: list[ParkedHeartbeat] = []
 
     def handle(self, pending_response: Any, body: bytes) -> None:
@@ -100,10 +103,11 @@
         if label is None:
             self._handle_unknown_machine(pending_response, heartbeat, deadline_at)
             return
-        shard = self.shards.get(label)
-        if shard is None:
+        agent = self.owned.agents.get(label)
+        if agent is None:
             self._redirect(pending_response, self.registry.owner_of(label))
             return
+        shard = agent.shard
         machine = shard.machines.get(heartbeat.machine_id)
         if (
             machine is None
@@ -114,20 +118,20 @@
             # copy of a report: an answer must not count as one that its lease goes on with.
             self._respond_unavailable(pending_response)
             return
-        self._defer(pending_response, heartbeat, shard, machine)
+        self._defer(pending_response, heartbeat, agent, machine)
 
     def _defer(
-        self, pending_response: Any, heartbeat: Heartbeat, shard: Shard, machine: Machine
+        self, pending_response: Any, heartbeat: Heartbeat, agent: ShardAgent, machine: Machine
     ) -> None:
         if heartbeat.fencing_token > machine.fencing.token:
             # Away and back between two looks of ours: to us it is a machine just granted.
-            machine.fencing.token = shard.fencing_token
+            machine.fencing.token = agent.shard.fencing_token
             machine.fencing.fenced = False
-        newer = shard.intake.handle(machine, heartbeat, is_heartbeat=True)
+        newer = agent.intake.handle(machine, heartbeat, is_heartbeat=True)
         if heartbeat.address:
             self.writer.addresses[heartbeat.machine_id] = heartbeat.address
         until = self.context.now + DEFER_INTERVALS * self.context.timing.report_s
-        self._arrived.append(DeferredHeartbeat(pending_response, shard, machine, newer, until))
+        self._arrived.append(DeferredHeartbeat(pending_response, agent, machine, newer, until))
 
     def _redirect(self, pending_response: Any, owner: str | None) -> None:
         if owner is None or owner == self.context.controller_id:
@@ -170,13 +174,18 @@
 
     # -- answers ---------------------------------------------------------------------------
 
-    def respond_to_deferred(self, look_again: bool) -> None:
+    def recheck_deferred(self) -> None:
+        """Plans or occupancy flags have changed what deferred heartbeats wait for."""
+        self._recheck_deferred = True
+
+    def respond_to_deferred(self) -> None:
         """Answer the check-ins that need not wait any longer for a plan or a mark.
 
         Between two plans and looks at marks those that waited before go on waiting until their
         time is over: they came in that order.
         """
-        if not look_again:
+        recheck, self._recheck_deferred = self._recheck_deferred, False
+        if not recheck:
             now = self.context.now
             overdue = next((n for n, c in enumerate(self.deferred) if c.deadline_at > now), None)
             self._respond_to(self.deferred[:overdue])
@@ -201,14 +210,17 @@
     def _must_wait(self, deferred: DeferredHeartbeat) -> bool:
         machine = deferred.machine
         unplanned = (
-            deferred.shard.needs_replan or not machine.marked_occupied
+            deferred.agent.shard.needs_replan or not machine.marked_occupied
         )  # the next plan, or its mark
         in_time = self.context.now < deferred.deadline_at
         return unplanned and in_time and machine.usable and not machine.full
 
     def _may_respond(self, deferred: DeferredHeartbeat) -> bool:
-        shard, machine = deferred.shard, deferred.machine
-        if self.shards.get(shard.shard_id) is not shard or machine.machine_id not in shard.machines:
+        shard, machine = deferred.agent.shard, deferred.machine
+        if (
+            self.owned.shards.get(shard.shard_id) is not shard
+            or machine.machine_id not in shard.machines
+        ):
             return False
         if not self.is_serving():
             return False  # looked at again: one that waited may have outlived the window
@@ -223,25 +235,26 @@
         return True
 
     def _respond(self, deferred: DeferredHeartbeat) -> None:
-        shard, machine = deferred.shard, deferred.machine
+        shard, machine = deferred.agent.shard, deferred.machine
         commands: list[TaskCommand] = []
         if machine.fencing.fenced:
             # Also when an answer of `/do` has overtaken the report: the reply renews the
             # lease, so it carries what is to stop.
-            commands = shard.commands.pending_commands(machine)
+            commands = deferred.agent.commands.pending_commands(machine)
             # The mark by the newest copy of the record, not by the last look over all marks.
             used = machine.marked_occupied and self.writer.is_occupied(
                 shard.shard_id, machine.machine_id
             )
             if deferred.newer and machine.usable and used and self.watch.ready:
-                commands += self._start_commands(shard, machine)
+                commands += self._start_commands(deferred.agent, machine)
         machine.heartbeat.responded_at = self.context.now
         body = msgspec.json.encode(HeartbeatResponse(machine.fencing.token, commands))
         self.context.respond(deferred.pending_response, 200, body)
 
-    def _start_commands(self, shard: Shard, machine: Machine) -> list[TaskCommand]:
+    def _start_commands(self, agent: ShardAgent, machine: Machine) -> list[TaskCommand]:
         """The tasks booked on the machine from now on."""
         commands = []
+        shard = agent.shard
         for booking in shard.bookings.pop(machine.machine_id, ()):
             job = shard.jobs.get(booking.job_id)
             if (
@@ -251,7 +264,7 @@
                 or job.is_completed(booking.task_index)
             ):
                 continue
-            command = shard.commands.start(machine, job, booking, shard.estimate_run_s(job))
+            command = agent.commands.start(machine, job, booking, shard.estimate_run_s(job))
             if command is None:
                 break
             commands.append(command)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -56,7 +56,11 @@
 
 def confirmed(world: World) -> bool:
     """Every machine of every block has shown its holder's token, or is proved empty."""
-    held = [h for controller in world.controllers.values() for h in controller.shards.values()]
+    held = [
+        h
+        for controller in world.controllers.values()
+        for h in controller.parts.owned.shards.values()
+    ]
     return bool(held) and all(not block.unreconciled and block.progress_loaded for block in held)
 
 
@@ -79,7 +83,7 @@
     assert changed.count(key) == 1 and not any("live/machines/" in name for name in changed)
     world.until(lambda: confirmed(world), 2.5 * REPORT_S)
     assert len(world.running()) == len(world.starts_seen) == 2 * MACHINES
-    (held,) = world.controllers[world.holder()].shards.values()
+    (held,) = world.controllers[world.holder()].parts.owned.shards.values()
     assert sum(1 for _ in held.runs()) == 2 * MACHINES
 
 
@@ -112,7 +116,7 @@
     while world.now < until:
         world.step()
         for controller in world.controllers.values():
-            for held in controller.shards.values():
+            for held in controller.parts.owned.shards.values():
                 asked |= {h for h, m in held.machines.items() if m.fencing.next_probe_at > 0}
                 whole_turn = whole_turn or set(lost) <= asked
     assert whole_turn
@@ -131,7 +135,9 @@
     world.crash("node-2")
     world.boot("node-2")
     world.until(lambda: "live/format" in world.state.data, 20.0)
-    world.until(lambda: all(c.context.record_format.paged for c in world.controllers.values()), 5.0)
+    world.until(
+        lambda: all(c.parts.context.record_format.paged for c in world.controllers.values()), 5.0
+    )
     world.run(10.0)
     world.state.value_bytes, world.state.txn_ops = 2048, 4
     refused = world.state.refusals
@@ -151,10 +157,10 @@
         world.machine("a", spot=True)
     for worker in world.workers.values():
         worker.hung = True
-    leader = next(c for c in world.controllers.values() if c.leadership.term is not None)
-    world.until(lambda: len(leader.provider.listed_machines) == MACHINES, 90.0)
+    leader = next(c for c in world.controllers.values() if c.parts.leadership.term is not None)
+    world.until(lambda: len(leader.parts.provider.listed_machines) == MACHINES, 90.0)
     assert world.listings >= MACHINES // 500
-    world.until(lambda: len(leader.registry.shard_of_machine) == MACHINES, 30.0)
+    world.until(lambda: len(leader.parts.registry.shard_of_machine) == MACHINES, 30.0)
 
 
 # -- parts by themselves ---------------------------------------------------------------------
@@ -206,21 +212,21 @@
     world = World(2)
     world.run(3.0)
     controller = world.controllers["node-1"]
-    assert controller.watch.ready
+    assert controller.parts.watch.ready
     (call,) = [c for c in pending_watches(world, "node-1")][:1]
     call.on_response(Response(RESPONSE_TOO_LONG, b"", world.now))
-    assert not controller.watch.loaded
-    world.until(lambda: controller.watch.ready, 5.0)
-    assert controller.watch.revision == world.state.ledger
+    assert not controller.parts.watch.loaded
+    world.until(lambda: controller.parts.watch.ready, 5.0)
+    assert controller.parts.watch.revision == world.state.ledger
 
 
 def pending_watches(world: World, label: str) -> list[Any]:
     """A look at the changes that this controller is about to send."""
     controller = world.controllers[label]
-    controller.watch._watching = False
-    controller.watch._start_watch(world.now)
-    controller.context.state_client.send_queued(world.now)
-    effects, controller.context.outbox[:] = list(controller.context.outbox), []
+    controller.parts.watch._watching = False
+    controller.parts.watch._start_watch(world.now)
+    controller.parts.context.state_client.send_queued(world.now)
+    effects, controller.parts.context.outbox[:] = list(controller.parts.context.outbox), []
     return [e for e in effects if getattr(e, "address", "") == STATE]
 
 
@@ -231,9 +237,9 @@
 
 def test_fences_take_their_part_of_the_sockets() -> None:
     world = large()
-    world.until(lambda: bool(world.controllers[world.holder()].shards), 5.0)
-    (held,) = world.controllers[world.holder()].shards.values()
-    assert isinstance(held.fencing, Fencing) and held.fencing.max_in_flight == 240
+    world.until(lambda: bool(world.controllers[world.holder()].parts.owned.shards), 5.0)
+    (agent,) = world.controllers[world.holder()].parts.owned.agents.values()
+    assert isinstance(agent.fencing, Fencing) and agent.fencing.max_in_flight == 240
 
 
 def test_blocks_are_shared_out_many_machines_at_a_time() -> None:
@@ -254,7 +260,7 @@
 def test_machines_with_the_longest_names_are_released_within_the_smallest_values() -> None:
     world = World(2, state=STATE_FACTS | {"next": SMALLEST})
     world.run(5.0)
-    writer = world.controllers[world.holder()].writer
+    writer = world.controllers[world.holder()].parts.writer
     hosts = {f"{number:0190}" for number in range(100)}
     out = writer._releasable(hosts)
     (change,) = writer._release_record(out)
