--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -249,7 +249,7 @@
     world.capacity = 400
 
     def sizes() -> list[int]:
-        registry = next(iter(world.controllers.values())).registry
+        registry = next(iter(world.controllers.values())).parts.registry
         return sorted(len(record.machines) for record, _ in registry.shards.values())
 
     world.until(lambda: len(sizes()) == 2 and sum(sizes()) == 400, 20.0)
