--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -171,6 +171,6 @@
         for shard in self.owned.shards.values():
             for job in shard.jobs.values():
                 if not job.cancelled:
-                    task_counts[job.job_id] = (job.completed_count, len(job.runs))
+                    task_counts[job.job_id] = (job.progress.completed.count, len(job.runs))
         self.jobs.task_counts.update(task_counts)
         return self._task_counts.next_entries(task_counts)
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -20,12 +20,12 @@
         if job.cancelled or job.finished or job.waits_for_dependencies:
             continue  # machines rented for what cannot start yet would stand idle
         spec = job.spec
-        if job.processors_for_types is not machine_types:
-            job.processors_for_types, job.processors_per_task = (
+        if job.processors.machine_types is not machine_types:
+            job.processors.machine_types, job.processors.per_task = (
                 machine_types,
                 _processors(job, machine_types),
             )
-        processors = job.processors_per_task
+        processors = job.processors.per_task
         estimate = shard.estimate_run_s(job)
         if spec.kind == JobKind.SERVICE:
             # Not work that drains: as much as occupies its own processors all the time.
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -9,8 +9,9 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
+from fallpulley.jobs.completion import chunk_name, chunk_tasks, is_chunk_name
 from fallpulley.jobs.messages import JOB_ID, JobRecord, JobState, Progress
-from fallpulley.jobs.open_job import OpenJob, chunk_name, chunk_tasks, is_chunk_name
+from fallpulley.jobs.open_job import OpenJob
 from fallpulley.jobs.service import JOB_PREFIX, JobEntry
 from fallpulley.shards.shard import Shard
 from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
@@ -58,12 +59,12 @@
             if job.cancelled:
                 continue
             if job.finished:
-                if not job.final_write_pending and now >= job.retry_at:
+                if not job.final_write_pending and now >= job.retry.not_before:
                     self._write_completion(shard, job)
             elif (
-                job.unsaved_since is not None
-                and not job.progress_write_pending
-                and now > job.unsaved_since + age
+                job.progress.unsaved_since is not None
+                and not job.progress.write_pending
+                and now > job.progress.unsaved_since + age
                 and self.context.state_client.queued_changes(RequestPriority.PROGRESS) < 4
             ):
                 self._write_progress(job)
@@ -108,7 +109,7 @@
         changes = [Change(key, value)]
         conditions = {key: job.mod_revision}
         # As many progress values as the transaction holds; what is left of them harms nothing.
-        for name, mod_revision in list(job.progress_revisions.items())[
+        for name, mod_revision in list(job.progress.revisions.items())[
             : self.context.record_format.txn_ops - 1
         ]:
             conditions[f"{PROGRESS_PREFIX}{job.job_id}/{name}"] = mod_revision
@@ -118,12 +119,12 @@
             log.info(
                 "job done job=%s status=%s term=%d", job.job_id, result.status, shard.fencing_token
             )
-            if result.conflicted and job.progress_revisions:
+            if result.conflicted and job.progress.revisions:
                 # A late progress write got in between: leave the values, the end counts.
-                job.progress_revisions.clear()
+                job.progress.revisions.clear()
             if not result.committed:
                 # The watch shows the record if the write got through after all.
-                job.retry_at = self.context.now + 0.3
+                job.retry.not_before = self.context.now + 0.3
                 job.final_write_pending = False
 
         self.context.state_client.write(
@@ -139,30 +140,30 @@
     def _write_progress(self, job: OpenJob) -> None:
         newer = self.context.record_format.compact
         tasks = self.chunk_tasks if newer else self.first_format_chunk_tasks
-        job.unsaved_since = None
-        for number in job.unsaved_chunks(tasks)[:4]:
+        job.progress.unsaved_since = None
+        for number in job.progress.unsaved_chunks(tasks)[:4]:
             self._write_chunk(job, number, tasks, chunk_name(number, tasks, newer))
 
     def _write_chunk(self, job: OpenJob, number: int, tasks: int, name: str) -> None:
-        job.progress_write_pending = True
+        job.progress.write_pending = True
         key = f"{PROGRESS_PREFIX}{job.job_id}/{name}"
-        content = job.chunk_bytes(number, tasks)
+        content = job.progress.completed.chunk(number, tasks)
         value = msgspec.json.encode(Progress(base64.b64encode(content).decode()))
 
         def on_result(result: WriteResult) -> None:
-            job.progress_write_pending = False
+            job.progress.write_pending = False
             if result.committed:
-                job.progress_revisions[name] = result.revision
-                job.mark_chunk_durable(number, tasks, content)
+                job.progress.revisions[name] = result.revision
+                job.progress.durable.replace_chunk(number, tasks, content)
                 return
-            if job.unsaved_since is None:
-                job.unsaved_since = self.context.now
+            if job.progress.unsaved_since is None:
+                job.progress.unsaved_since = self.context.now
             if result.conflicted or result.unknown:
                 self._reload_chunk(job, name)
 
         self.context.state_client.write(
             Write(
-                {key: job.progress_revisions.get(name, 0)},
+                {key: job.progress.revisions.get(name, 0)},
                 [Change(key, value)],
                 on_result,
                 RequestPriority.PROGRESS,
@@ -172,19 +173,19 @@
 
     def _reload_chunk(self, job: OpenJob, name: str) -> None:
         """Somebody's write, perhaps our own late one, changed the value: merge it."""
-        job.progress_write_pending = True
+        job.progress.write_pending = True
         path = f"/store/{PROGRESS_PREFIX}{job.job_id}/{name}"
 
         def on_response(response: Response) -> None:
-            job.progress_write_pending = False
+            job.progress.write_pending = False
             if response.status == 404:
-                job.progress_revisions.pop(name, None)
+                job.progress.revisions.pop(name, None)
             elif response.ok:
                 try:
                     item = msgspec.json.decode(response.body, type=_Item)
                 except msgspec.MsgspecError:
                     return
-                job.merge_chunk(
+                job.progress.merge_stored_chunk(
                     name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision
                 )
 
@@ -233,4 +234,6 @@
         job_id, _, name = item.key[len(PROGRESS_PREFIX) :].rpartition("/")
         job = shard.jobs.get(job_id)
         if job is not None and JOB_ID.fullmatch(job_id) and is_chunk_name(name):
-            job.merge_chunk(name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision)
+            job.progress.merge_stored_chunk(
+                name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision
+            )
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -140,7 +140,12 @@
     shapes = count_shapes(snapshots)
     unclear: bool | None = None  # looked at only where a team has a limit
     for job in shard.jobs.values():
-        if job.cancelled or job.finished or now < job.retry_at or shard.is_unreconciled(job):
+        if (
+            job.cancelled
+            or job.finished
+            or now < job.retry.not_before
+            or shard.is_unreconciled(job)
+        ):
             continue
         if job.waits_for_dependencies:
             continue
@@ -156,7 +161,7 @@
             if unclear:
                 continue
         tasks = job.waiting_count()
-        if not tasks or job.gang_restarting:
+        if not tasks or job.gang.restarting:
             continue
         entry = _pending_job(shard, context, job, tasks, shapes, wall_ms)
         first = first_tasks(job, context) - len(job.runs)
@@ -182,7 +187,7 @@
 def first_tasks(job: OpenJob, context: ControllerContext) -> int:
     """How many tasks of a job go before all others: none, unless none of it has run for long."""
     waited = context.wall_time - job.ready_since_ms / 1000
-    if job.completed_count or waited < context.settings.operators.begin_bound_s:
+    if job.progress.completed.count or waited < context.settings.operators.begin_bound_s:
         return 0
     return math.ceil(FIRST_SHARE * job.spec.task_count)
 
@@ -197,14 +202,14 @@
 ) -> PendingJob:
     spec = job.spec
     estimate = shard.estimate_run_s(job)
-    left = spec.task_count - job.completed_count
+    left = spec.task_count - job.progress.completed.count
     key = (left, shapes, round(estimate, 1))
-    if key != job.remaining_inputs:
-        job.remaining_inputs = key
-        job.remaining_s = remaining_time(job.resources, estimate, left, shapes)
+    if key != job.urgency.remaining_inputs:
+        job.urgency.remaining_inputs = key
+        job.urgency.remaining_s = remaining_time(job.resources, estimate, left, shapes)
     job.update_deadline_risk(context.wall_time)
     waited = (wall_ms - job.ready_since_ms) / 1000
-    avoid = job.failed_machines or None
+    avoid = job.retry.failed_machines or None
     if avoid is not None and avoid >= shard.machines.keys():
         avoid = None  # it failed on all there are: closed to it, they would stand idle beside it
     zone, zone_room = spec.zone, None
@@ -224,8 +229,8 @@
         tasks,
         spec.image,
         spec.image_gb,
-        job.remaining_s + job.critical_path_s,
-        job.deadline_at_risk or waited > context.settings.operators.age_bound * estimate,
+        job.urgency.remaining_s + job.critical_path_s,
+        job.urgency.deadline_at_risk or waited > context.settings.operators.age_bound * estimate,
         job.ready_since_ms / 1000,
         spec.allow_spot,
         job.priority_level,
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -55,12 +55,12 @@
             attempt = self.shard.attempt_numbers.next(self.shard.fencing_token)
             if attempt is None:
                 return None
-            job.gang_attempt = attempt
+            job.gang.attempt = attempt
         # The tasks of an ensemble find each other by their common attempt.
         run = TaskRun(
             job.job_id,
             booking.task_index,
-            job.gang_attempt,
+            job.gang.attempt,
             machine.machine_id,
             self.context.now,
             estimate_s,
--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -152,7 +152,7 @@
             job.runs.pop(run.task_index, None)
             self.shard.decisions.task_gone(run, status.exit_reason or "")
         if status.exit_reason == ExitReason.DONE:
-            if job.mark_completed(named[1], self.context.now):
+            if job.progress.mark_completed(named[1], self.context.now):
                 log.debug("task done task=%s machine=%s", status.task_id, machine.machine_id)
                 self._record_run_time(machine, job, run)
         elif run is not None:
@@ -164,7 +164,7 @@
             )
             job.requeue(run.task_index)
             if status.exit_reason == ExitReason.ERROR:
-                job.record_failure(
+                job.retry.record_failure(
                     machine.machine_id, self.context.now, self.context.timing.lease_s
                 )
                 machine.reliability.failed_jobs.add(job.job_id)
@@ -182,11 +182,12 @@
         took = max(0.1, self.context.now - run.started_at)
         expected = self.shard.estimate_run_s(job)
         machine.speed.record(took / expected)
-        job.observed_tasks += 1
-        job.observed_run_s += took
+        job.run_times.record(took)
         job_class = job.spec.job_class
         self.shard.corrections.learn(job_class, job.spec.estimated_run_s, took)
-        self.shard.decisions.run_time_learned(job.job_id, job.observed_tasks, job.observed_run_s)
+        self.shard.decisions.run_time_learned(
+            job.job_id, job.run_times.tasks, job.run_times.total_s
+        )
         self.shard.decisions.class_correction_learned(
             job_class, self.shard.corrections.factor(job_class)
         )
--- a/fallpulley/shards/job_stops.py
+++ b/fallpulley/shards/job_stops.py
@@ -25,10 +25,10 @@
 def stop_broken_gangs(shard: Shard, commands: MachineCommands) -> None:
     """What is left of a gang that lost a task makes room for all of it to start anew."""
     for job in shard.jobs.values():
-        if not job.gang_restarting:
+        if not job.gang.restarting:
             continue
         if not job.runs:
-            job.gang_restarting = False
+            job.gang.restarting = False
             shard.needs_replan = True
         for run in job.runs.values():
             if run.stop_grace_s is None:
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -118,7 +118,7 @@
         if job.spec.kind == JobKind.SERVICE:
             return SERVICE_LEASES * self.context.timing.lease_s
         corrected = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
-        return run_estimate(corrected, job.observed_tasks, job.observed_run_s)
+        return run_estimate(corrected, job.run_times.tasks, job.run_times.total_s)
 
     # -- machines --------------------------------------------------------------------------
 
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -270,9 +270,9 @@
     """The state of a held block, in parts that fit a message."""
     machines = [(machine_id, _copy(machine)) for machine_id, machine in shard.machines.items()]
     jobs = [
-        (name, JobCopy(job.observed_tasks, round(job.observed_run_s, 2)))
+        (name, JobCopy(job.run_times.tasks, round(job.run_times.total_s, 2)))
         for name, job in shard.jobs.items()
-        if job.observed_tasks
+        if job.run_times.tasks
     ]
     parts = [Snapshot({}, {}, dict(shard.corrections.factors()))]
     for at in range(0, len(machines), PART_ITEMS):
--- a/fallpulley/standby/takeover.py
+++ b/fallpulley/standby/takeover.py
@@ -28,7 +28,7 @@
     for name, copy in state.jobs.items():
         job = shard.jobs.get(name)
         if job is not None and copy.observed_tasks >= 0 and copy.observed_run_s >= 0.0:
-            job.observed_tasks, job.observed_run_s = copy.observed_tasks, copy.observed_run_s
+            job.run_times.tasks, job.run_times.total_s = copy.observed_tasks, copy.observed_run_s
     expected = Expected({})
     for machine_id, machine in state.machines.items():
         ours = shard.machines.get(machine_id)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -18,8 +18,9 @@
 from fallpulley.effects import HttpCall, Response
 from fallpulley.fleet.messages import MachineType
 from fallpulley.fleet.sizing import DemandGroup, SupplyUnit, size_fleet
+from fallpulley.jobs.completion import chunk_tasks
 from fallpulley.jobs.messages import JobRecord, parse_submission
-from fallpulley.jobs.open_job import OpenJob, chunk_tasks
+from fallpulley.jobs.open_job import OpenJob
 from fallpulley.settings import SettingsError, load
 from fallpulley.state.client import Change, RequestPriority, StateClient, TokenBucket, Write
 from fallpulley.wire.limit import AdaptiveLimit
@@ -205,24 +206,24 @@
     tasks = chunk_tasks(16.0)
     big = open_job(100_000)
     for index in range(0, 100_000, 3):
-        big.mark_completed(index, 0.0)
+        big.progress.mark_completed(index, 0.0)
     again = open_job(100_000)
-    for chunk in big.unsaved_chunks(tasks):
-        value = base64.b64encode(big.chunk_bytes(chunk, tasks)).decode()
+    for chunk in big.progress.unsaved_chunks(tasks):
+        value = base64.b64encode(big.progress.completed.chunk(chunk, tasks)).decode()
         assert len(value) < 16 * 1024 * 0.9
-        again.merge_chunk(str(chunk), tasks, value, 5)
-    assert again.completed_count == big.completed_count == 33_334
+        again.progress.merge_stored_chunk(str(chunk), tasks, value, 5)
+    assert again.progress.completed.count == big.progress.completed.count == 33_334
     assert again.is_durable(99_999) and not again.is_completed(99_998)
 
 
 def test_a_job_failing_on_several_machines_pauses_longer_each_time() -> None:
     failing = open_job(4)
-    failing.record_failure("vm-1", 0.0, 10.0)
-    assert failing.retry_at < 0.0  # first another machine, at once
-    failing.record_failure("vm-2", 0.0, 10.0)
-    first = failing.retry_at
-    failing.record_failure("vm-3", 0.0, 10.0)
-    assert 0.0 < first < failing.retry_at <= 60.0
+    failing.retry.record_failure("vm-1", 0.0, 10.0)
+    assert failing.retry.not_before < 0.0  # first another machine, at once
+    failing.retry.record_failure("vm-2", 0.0, 10.0)
+    first = failing.retry.not_before
+    failing.retry.record_failure("vm-3", 0.0, 10.0)
+    assert 0.0 < first < failing.retry.not_before <= 60.0
 
 
 KIND = MachineType("box", 8.0, 0.0, 32.0, 1.0, 0.3, 40.0, ["a", "b"])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,14 +13,14 @@
 import msgspec
 import pytest
 
-from fallpulley.jobs.messages import JobRecord
-from fallpulley.jobs.open_job import (
-    OpenJob,
+from fallpulley.jobs.completion import (
     chunk_name,
     chunk_tasks,
     is_chunk_name,
     parse_chunk_name,
 )
+from fallpulley.jobs.messages import JobRecord
+from fallpulley.jobs.open_job import OpenJob
 from fallpulley.mesh import messages as mesh
 from fallpulley.records.shard_record import MachineEntry, Session, ShardRecord, decode_shard
 from tests.test_day_end import started
@@ -231,12 +231,12 @@
     assert older != newer
     done = open_job(100_000)
     for index in range(0, 100_000, 7):
-        done.mark_completed(index, 0.0)
+        done.progress.mark_completed(index, 0.0)
     values: dict[str, bytes] = {}
-    for number in done.unsaved_chunks(older)[:1]:
-        values[chunk_name(number, older, False)] = done.chunk_bytes(number, older)
+    for number in done.progress.unsaved_chunks(older)[:1]:
+        values[chunk_name(number, older, False)] = done.progress.completed.chunk(number, older)
     for number in range(5, -(-100_000 // newer)):
-        values[chunk_name(number, newer, True)] = done.chunk_bytes(number, newer)
+        values[chunk_name(number, newer, True)] = done.progress.completed.chunk(number, newer)
     assert (
         all(is_chunk_name(name) for name in values)
         and not is_chunk_name("x")
@@ -244,9 +244,9 @@
     )
     again: OpenJob = open_job(100_000)
     for name, content in values.items():
-        again.merge_chunk(name, older, msgspec.to_builtins(content), 5)
+        again.progress.merge_stored_chunk(name, older, msgspec.to_builtins(content), 5)
         assert parse_chunk_name(name, older)[1] == (newer if "@" in name else older)
-    assert again.completed_count == done.completed_count
+    assert again.progress.completed.count == done.progress.completed.count
 
 
 def test_more_progress_values_than_a_transaction_holds_keep_no_job_from_ending() -> None:
@@ -255,5 +255,5 @@
     world.until(lambda: len(world.running(uid)) == 4, 20.0)
     held = next(iter(world.controllers[world.holder()].parts.owned.shards.values()))
     for number in range(9):
-        held.jobs[uid].progress_revisions[f"{number}@64"] = 0
+        held.jobs[uid].progress.revisions[f"{number}@64"] = 0
     world.until(lambda: world.stage(uid) == "done", 30.0)
