--- a/fallpulley/context.py
+++ b/fallpulley/context.py
@@ -1,10 +1,10 @@
-"""What all parts of one controller share: its settings, identity, clock and outbox."""
+"""What all parts of a controller share: settings, identity, clock, outbox, state client."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from fallpulley.effects import Effect, HttpCall, ResponseHandler, SendResponse
+from fallpulley.effects import Effect, HttpCall, PendingResponse, ResponseHandler, SendResponse
 from fallpulley.records.formats import RecordFormat
 from fallpulley.settings import Settings
 from fallpulley.state.client import StateClient
@@ -12,14 +12,17 @@
 
 
 class ControllerContext:
-    """One for each process. `now` and `wall_time` stand still within one step of the owner."""
+    """The shared context of one controller process.
+
+    `now` and `wall_time` are set once at the start of each step and stay the same throughout it.
+    """
 
     def __init__(self, settings: Settings, incarnation: str, clock: Callable[[], float]) -> None:
         self.settings = settings
         self.controller_id = settings.controller_id
         self.incarnation = incarnation
-        self.clock = clock  # steady, in seconds
-        self.now = 0.0  # by the steady clock
+        self.clock = clock  # monotonic, in seconds
+        self.now = 0.0  # seconds of the monotonic clock
         self.wall_time = 0.0  # seconds since the epoch
         self.outbox: list[Effect] = []
         self.timing = timing_of(settings)
@@ -29,7 +32,7 @@
             settings.endpoints.state,
             limits.rps / nodes,
             limits.write_rps / nodes,
-            # Transactions as small as they will have to be: all formats allow it.
+            # The strictest of present and announced limits: every record format allows it.
             limits.strictest().txn_ops,
             self.outbox.append,
         )
@@ -37,12 +40,12 @@
 
     def respond(
         self,
-        pending_response: object,
+        pending_response: PendingResponse,
         status: int,
         body: bytes = b"",
         retry_after: float | None = None,
     ) -> None:
-        """Answer a request; `retry_after` in seconds."""
+        """Add the response to a request to the outbox; `retry_after` in seconds."""
         self.outbox.append(SendResponse(pending_response, status, body, retry_after))
 
     def call(
@@ -54,5 +57,5 @@
         timeout_s: float,
         on_response: ResponseHandler,
     ) -> None:
-        """Send an HTTP request; its outcome comes to `on_response` in a later step."""
+        """Add an HTTP request to the outbox; `on_response` gets its outcome in a later step."""
         self.outbox.append(HttpCall(address, method, path, body, timeout_s, on_response))
--- a/fallpulley/effects.py
+++ b/fallpulley/effects.py
@@ -1,26 +1,34 @@
-"""What the owner of the state is told (commands) and what it asks for (effects).
+"""The interface between the controller and its process: commands come in, effects go out.
 
-Network tasks post commands and carry out effects; only the owner decides.
+Network callbacks queue commands; the controller's loop handles them in batches and returns
+effects, which the process carries out. Only the controller decides anything.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from http import HTTPStatus
-from typing import Any
+from typing import Protocol
 
 import msgspec
 
-# The status of a call whose response was longer than this process can take; HTTP has no such one.
+# The status of a call whose response was longer than this process accepts; no HTTP status is 0.
 RESPONSE_TOO_LONG = 0
 
 
+class PendingResponse(Protocol):
+    """Accepts the response to one request; a second response is ignored."""
+
+    def __call__(self, status: int, body: bytes, retry_after: float | None, /) -> None:
+        """Send the response. `retry_after` in seconds; None sends no such header."""
+
+
 class Response(msgspec.Struct):
-    """How a call ended."""
+    """The response to an HTTP call of this controller."""
 
     status: int | None  # None: no response, so the outcome is unknown
     body: bytes
-    sent_at: float  # when the call was sent, by the steady clock
+    sent_at: float  # when the call was sent, in seconds of the monotonic clock
 
     @property
     def ok(self) -> bool:
@@ -32,43 +40,43 @@
 
 
 def ignore_response(response: Response) -> None:
-    """For calls of which nothing depends on the outcome."""
+    """The handler of calls whose outcome does not matter."""
 
 
 class Request(msgspec.Struct):
-    """A request that reached this controller; `ticket` takes its answer."""
+    """A request that reached this controller on its public address."""
 
-    pending_response: Any
+    pending_response: PendingResponse
     method: str
     path: str
     body: bytes
 
 
 class OperatorRequest(msgspec.Struct):
-    """A request of an operator's tool on the mesh address."""
+    """A request from an operator's tool, received on the mesh address."""
 
-    pending_response: Any
+    pending_response: PendingResponse
     method: str
     path: str
     body: bytes
 
 
 class CallCompleted(msgspec.Struct):
-    """The outcome of a `Call`."""
+    """The outcome of an `HttpCall`, to be passed to its handler."""
 
     on_response: ResponseHandler
-    status: int | None
+    status: int | None  # as in `Response`
     body: bytes
     sent_at: float
 
     @property
     def response(self) -> Response:
-        """What the handler takes."""
+        """The outcome in the form that the handler takes."""
         return Response(self.status, self.body, self.sent_at)
 
 
 class PeerMessage(msgspec.Struct):
-    """A message of another controller, still encoded."""
+    """A message from another controller, still encoded."""
 
     body: bytes
 
@@ -77,14 +85,16 @@
 
 
 class SendResponse(msgspec.Struct):
-    pending_response: Any
+    """The response to a `Request` or an `OperatorRequest`."""
+
+    pending_response: PendingResponse
     status: int
     body: bytes = b""
-    retry_after: float | None = None
+    retry_after: float | None = None  # seconds
 
 
 class HttpCall(msgspec.Struct):
-    """An HTTP request to the state service, the cloud, a worker or a peer."""
+    """An HTTP request to the state service, the cloud, a machine or a peer."""
 
     address: str
     method: str
--- a/fallpulley/serve.py
+++ b/fallpulley/serve.py
@@ -62,7 +62,7 @@
         or an operator's request."""
         if request.method == "POST" and request.path == "/beat":
             self.submit(PeerMessage(request.body))
-            request.pending_response.settle(204, b"", None)
+            request.pending_response(204, b"", None)
         else:
             operators = OperatorRequest(
                 request.pending_response, request.method, request.path, request.body
@@ -109,7 +109,7 @@
             self._commands.clear()
             for effect in self._step(batch):
                 if isinstance(effect, SendResponse):
-                    effect.pending_response.settle(effect.status, effect.body, effect.retry_after)
+                    effect.pending_response(effect.status, effect.body, effect.retry_after)
                 else:
                     self._call(client, effect)
 
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -56,7 +56,7 @@
     return h11.Response(status_code=status, headers=headers)
 
 
-class PendingResponse:
+class ConnectionResponse:
     """Where the owner's answer to one request arrives."""
 
     __slots__ = ("connection",)
@@ -64,7 +64,7 @@
     def __init__(self, connection: Connection) -> None:
         self.connection: Connection | None = connection
 
-    def settle(self, status: int, body: bytes, retry_after: float | None) -> None:
+    def __call__(self, status: int, body: bytes, retry_after: float | None) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.answer(self, status, body, retry_after)
@@ -81,7 +81,7 @@
         self.counted = False  # the limit counts the request in progress
         self.user = False  # its last request was a user's
         self.machine = False  # its last request was a machine's report
-        self.ticket: PendingResponse | None = None
+        self.ticket: ConnectionResponse | None = None
         self._request: h11.Request | None = None
         self._chunks: list[bytes] = []
         self._size = 0
@@ -167,13 +167,13 @@
         path = request.target.decode("ascii", "replace")
         self._began = time.monotonic()
         self.due_at = self._began + ANSWER_S
-        self.ticket = ticket = PendingResponse(self)
+        self.ticket = ticket = ConnectionResponse(self)
         limit = self.server.limit
         self.user = path.startswith("/work")
         self.machine = path == "/checkin"
         if limit is not None and self.user:
             if not limit.enter(query=request.method == b"GET"):
-                ticket.settle(503, b'{"error":"busy"}', 1.0)
+                ticket(503, b'{"error":"busy"}', 1.0)
                 return
             self.counted = True
         self.server.post(Request(ticket, request.method.decode("ascii"), path, body))
@@ -184,7 +184,7 @@
             self.server.limit.leave(time.monotonic() - self._began)
 
     def answer(
-        self, ticket: PendingResponse, status: int, body: bytes, retry_after: float | None
+        self, ticket: ConnectionResponse, status: int, body: bytes, retry_after: float | None
     ) -> None:
         if self.ticket is not ticket or self.transport is None:
             return
@@ -239,7 +239,7 @@
                 transport.abort()
         elif now > self.due_at:
             if self.ticket is not None:
-                self.ticket.settle(503, b"", 1.0)
+                self.ticket(503, b"", 1.0)
             self._close()
 
 
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -92,7 +92,7 @@
             if worker.host not in self.workers:
                 return  # a machine that is no more answers nothing
             status, answer = worker.direct(json.loads(request.body or b"{}"))
-            request.pending_response.settle(status, json.dumps(answer).encode(), None)
+            request.pending_response(status, json.dumps(answer).encode(), None)
 
         return post
 
@@ -107,7 +107,7 @@
             self.watches.append((request, args["under"], int(args["after"]), until))
         else:
             status, answer = self.state.handle(request.method, request.path, request.body, self.now)
-            request.pending_response.settle(status, json.dumps(answer).encode(), None)
+            request.pending_response(status, json.dumps(answer).encode(), None)
             self._note_tenure()
         self._answer_watches()
 
@@ -116,7 +116,7 @@
         for request, under, after, until in self.watches:
             news = self.state.news(under, after)
             if news["news"] or self.now >= until:
-                request.pending_response.settle(200, json.dumps(news).encode(), None)
+                request.pending_response(200, json.dumps(news).encode(), None)
             else:
                 waiting.append((request, under, after, until))
         self.watches = waiting
@@ -125,7 +125,7 @@
         """A request to the cloud."""
         call = HttpCall("", request.method, request.path, request.body, 0.0, lambda *_: None)
         status, answer = self._cloud(call)
-        request.pending_response.settle(status, json.dumps(answer).encode(), None)
+        request.pending_response(status, json.dumps(answer).encode(), None)
 
     # -- running ---------------------------------------------------------------------------
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -34,7 +34,7 @@
         if self.keep:
             self.kept.append(request)
         else:
-            request.pending_response.settle(200, request.body, None)
+            request.pending_response(200, request.body, None)
 
 
 class Caller:
@@ -116,7 +116,7 @@
             assert (await client.call(address, "POST", "/checkin", b"{}", 1.0))[0] == 200
             assert (await client.call(address, "GET", "/up", None, 1.0))[0] == 200
             for request in echo.kept:
-                request.pending_response.settle(200, b"", None)
+                request.pending_response(200, b"", None)
 
     run(story, AdaptiveLimit(least=2, most=2))
 
