--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from http import HTTPStatus
 
 import msgspec
@@ -11,6 +11,7 @@
 from fallpulley.context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JOB_PREFIX, JobIndex
+from fallpulley.jobs.job_writes import write_acceptance
 from fallpulley.jobs.messages import (
     JobRecord,
     JobState,
@@ -27,14 +28,11 @@
 from fallpulley.records.registry import TEAM_PREFIX, Registry
 from fallpulley.records.shard_record import TeamShard
 from fallpulley.settings import Team
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.client import Change, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
 
-# A write that has not gone out by then is refused: its user would ask again anyway.
-MAX_WRITE_WAIT_SECONDS = 2.0
-
 
 class JobAdmission:
     """Handles `POST /work`: validates a submission, chooses its shard, writes its record."""
@@ -150,9 +148,7 @@
         if len(value) > self.context.record_format.value_bytes:
             self.responder.send_error(pending_response, HTTPStatus.BAD_REQUEST, "too long")
             return
-        self._write_record(
-            spec, shard_id, value, self._acceptance_handler(pending_response, spec, shard_id)
-        )
+        self._write_acceptance(pending_response, spec, shard_id, value)
 
     def _without_done_dependencies(self, spec: Submission) -> Submission:
         """Done never goes back: what is done need not stand in the record."""
@@ -165,14 +161,13 @@
         ]
         return msgspec.structs.replace(spec, depends_on=depends_on or None)
 
-    def _write_record(
-        self,
-        spec: Submission,
-        shard_id: str,
-        value: bytes,
-        on_result: Callable[[WriteResult], None],
+    def _write_acceptance(
+        self, pending_response: PendingResponse, spec: Submission, shard_id: str, value: bytes
     ) -> None:
-        """Write the job's record if there is none; with it, a limited team's shard."""
+        """Write the job's record if there is none, and respond; for a limited team also its shard.
+
+        Its jobs belong to one shard, which keeps its limit.
+        """
         key = JOB_PREFIX + spec.job_id
         conditions = {key: 0}
         changes = [Change(key, value)]
@@ -181,20 +176,6 @@
             conditions[team_key] = self.watch.mod_revision(team_key)
             if spec.team not in self.registry.team_shards:
                 changes.append(Change(team_key, msgspec.json.encode(TeamShard(shard_id))))
-        self.context.state_client.write(
-            Write(
-                conditions,
-                changes,
-                on_result,
-                RequestPriority.ACCEPT,
-                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
-            )
-        )
-
-    def _acceptance_handler(
-        self, pending_response: PendingResponse, spec: Submission, shard_id: str
-    ) -> Callable[[WriteResult], None]:
-        """Responds to the submission once the write of its record has ended."""
 
         def on_result(result: WriteResult) -> None:
             if result.committed:
@@ -205,7 +186,7 @@
             else:
                 self.responder.send_unavailable(pending_response, "state service did not answer")
 
-        return on_result
+        write_acceptance(self.context, conditions, changes, on_result)
 
     def _on_accepted(
         self, pending_response: PendingResponse, spec: Submission, shard_id: str
--- a/fallpulley/jobs/cancellation.py
+++ b/fallpulley/jobs/cancellation.py
@@ -9,14 +9,13 @@
 from fallpulley.context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JOB_PREFIX, JobEntry, JobIndex
+from fallpulley.jobs.job_writes import write_acceptance
 from fallpulley.jobs.messages import FINAL_STATES, JOB_ID, JobState, JobStatus
 from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.client import Change, WriteResult
 
 log = logging.getLogger(__name__)
 
-# A write that has not gone out by then is refused: its user would ask again anyway.
-MAX_WRITE_WAIT_SECONDS = 2.0
 # So often a cancellation is decided anew after a conflicting write.
 MAX_CANCEL_RETRIES = 3
 
@@ -81,12 +80,5 @@
             else:
                 self.responder.send_unavailable(pending_response, NOT_DECIDED)
 
-        self.context.state_client.write(
-            Write(
-                {key: entry.mod_revision},
-                [Change(key, msgspec.json.encode(entry.cancelled_record()))],
-                on_result,
-                RequestPriority.ACCEPT,
-                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
-            )
-        )
+        changes = [Change(key, msgspec.json.encode(entry.cancelled_record()))]
+        write_acceptance(self.context, {key: entry.mod_revision}, changes, on_result)
--- a/fallpulley/jobs/completion.py
+++ b/fallpulley/jobs/completion.py
@@ -103,7 +103,7 @@
         self.completed = CompletionBitmap(self.task_count)
         self.durable = CompletionBitmap(self.task_count)
 
-    def mark_completed(self, index: int, now: float) -> bool:
+    def record_completion(self, index: int, now: float) -> bool:
         """Count a task as completed; False if it already is, or the job has no such task."""
         if not 0 <= index < self.task_count or self.completed.contains(index):
             return False
--- a/fallpulley/jobs/messages.py
+++ b/fallpulley/jobs/messages.py
@@ -9,12 +9,18 @@
 import msgspec
 from msgspec import Meta
 
+# An amount of a resource, or seconds.
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
+# A name: of a team, an image, a machine type, ...
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 
 
 class JobKind(StrEnum):
-    """How a job's tasks belong together. Values as in the protocol's field `shape`."""
+    """How a job's tasks belong together. Values as in the protocol's field `shape`.
+
+    An array's tasks are independent, a gang's run all at the same time or not at all, a service's
+    run until it is cancelled.
+    """
 
     ARRAY = "sweep"
     GANG = "ensemble"
@@ -161,6 +167,8 @@
 
 
 class _NamedJob(msgspec.Struct, rename={"job_id": "uid"}):
+    """The one field of a submission that says which job it is."""
+
     job_id: Text
 
 
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -12,12 +12,17 @@
 from fallpulley.effects import Response
 from fallpulley.jobs.completion import chunk_name, chunk_tasks
 from fallpulley.jobs.job_index import JOB_PREFIX, JobEntry
+from fallpulley.jobs.job_writes import (
+    MAX_PROGRESS_WAIT_SECONDS,
+    write_acceptance,
+    write_progress,
+)
 from fallpulley.jobs.messages import JobRecord, JobState, Progress
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.jobs.progress_loading import ProgressLoader
 from fallpulley.jobs.stored_progress import ProgressItem, progress_key
 from fallpulley.shards.shard import Shard
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.client import Change, RequestPriority, WriteResult
 
 log = logging.getLogger(__name__)
 
@@ -28,9 +33,6 @@
 MAX_QUEUED_CHANGES = 4
 # Chunks of a job that are written at a time.
 MAX_CHUNKS_AT_ONCE = 4
-# Requests that have not gone out by then are dropped, and decided anew.
-MAX_PROGRESS_WAIT_SECONDS = 5.0
-MAX_COMPLETION_WAIT_SECONDS = 2.0
 COMPLETION_RETRY_SECONDS = 0.3
 
 
@@ -65,18 +67,14 @@
             if job.finished:
                 if not job.final_write_pending and now >= job.retry.not_before:
                     self._write_completion(shard, job)
-            elif self._is_progress_due(job, now, delay_s):
+            elif (
+                job.progress.unsaved_since is not None
+                and not job.progress.write_pending
+                and now > job.progress.unsaved_since + delay_s
+                and self._may_queue_progress()
+            ):
                 self._write_progress(job)
 
-    def _is_progress_due(self, job: OpenJob, now: float, delay_s: float) -> bool:
-        progress = job.progress
-        return (
-            progress.unsaved_since is not None
-            and not progress.write_pending
-            and now > progress.unsaved_since + delay_s
-            and self._may_queue_progress()
-        )
-
     def _may_queue_progress(self) -> bool:
         queued = self.context.state_client.queued_changes(RequestPriority.PROGRESS)
         return queued < MAX_QUEUED_CHANGES
@@ -92,15 +90,8 @@
         def on_result(result: WriteResult) -> None:
             self._cancellations_pending.discard(job_id)
 
-        self.context.state_client.write(
-            Write(
-                {key: entry.mod_revision},
-                [Change(key, msgspec.json.encode(entry.cancelled_record()))],
-                on_result,
-                RequestPriority.PROGRESS,
-                expires_at=self.context.now + MAX_PROGRESS_WAIT_SECONDS,
-            )
-        )
+        value = msgspec.json.encode(entry.cancelled_record())
+        write_progress(self.context, key, entry.mod_revision, value, on_result)
 
     def _write_completion(self, shard: Shard, job: OpenJob) -> None:
         """Every task is completed: the record says so before any response does."""
@@ -121,15 +112,7 @@
             )
             self._on_completion_result(job, result)
 
-        self.context.state_client.write(
-            Write(
-                conditions,
-                changes,
-                on_result,
-                RequestPriority.ACCEPT,
-                expires_at=self.context.now + MAX_COMPLETION_WAIT_SECONDS,
-            )
-        )
+        write_acceptance(self.context, conditions, changes, on_result)
 
     def _completed_record(self, record: JobRecord) -> bytes:
         return msgspec.json.encode(
@@ -178,15 +161,7 @@
             if result.conflicted or result.unknown:
                 self._reload_chunk(job, name)
 
-        self.context.state_client.write(
-            Write(
-                {key: progress.revisions.get(name, 0)},
-                [Change(key, value)],
-                on_result,
-                RequestPriority.PROGRESS,
-                expires_at=self.context.now + MAX_PROGRESS_WAIT_SECONDS,
-            )
-        )
+        write_progress(self.context, key, progress.revisions.get(name, 0), value, on_result)
 
     def _reload_chunk(self, job: OpenJob, name: str) -> None:
         """Somebody's write, perhaps our own late one, changed the value: merge it."""
--- a/fallpulley/jobs/pipelines.py
+++ b/fallpulley/jobs/pipelines.py
@@ -62,10 +62,11 @@
 class Pipelines:
     """The unfinished jobs that take part in pipelines. Records may come in any order."""
 
-    def __init__(self, finished_at_ms_of: FinishedAt, is_cancelled: IsCancelled) -> None:
+    def __init__(self, finished_at_ms: FinishedAt, is_cancelled: IsCancelled) -> None:
+        """Both functions look up a job's record by its id."""
         self.nodes: dict[str, DependencyNode] = {}
         self.dependents: dict[str, set[str]] = {}  # job id -> ids of the jobs that depend on it
-        self._finished_at_ms = finished_at_ms_of
+        self._finished_at_ms = finished_at_ms
         self._is_cancelled = is_cancelled
 
     def node(self, job_id: str) -> DependencyNode | None:
@@ -73,8 +74,11 @@
         return self.nodes.get(job_id)
 
     def add_job(self, job_id: str, depends_on: list[str], node: DependencyNode) -> PipelineChanges:
-        """An unfinished job's record has come. `node`: the job as it stands alone."""
-        changes = PipelineChanges([], [], [])
+        """An unfinished job's record has come; returns what it changes for this and other jobs.
+
+        `node`: the job as it stands alone.
+        """
+        changes = PipelineChanges()
         if not depends_on and job_id not in self.dependents:
             return changes  # nothing depends on it yet; its node is made when something does
         self.nodes[job_id] = node
@@ -97,8 +101,8 @@
         self.nodes.setdefault(job_id, node)
 
     def complete_job(self, job_id: str, finished_at_ms: int) -> PipelineChanges:
-        """A job's durable record says done."""
-        changes = PipelineChanges([], [], [])
+        """A job's durable record says done; returns which others are ready by that."""
+        changes = PipelineChanges()
         for dependent_id in sorted(self.dependents.pop(job_id, ())):
             node = self.nodes.get(dependent_id)
             if node is None or job_id not in node.unfinished_dependencies:
@@ -111,8 +115,8 @@
         return changes
 
     def cancel_job(self, job_id: str) -> PipelineChanges:
-        """A job's durable record says cancelled."""
-        changes = PipelineChanges([], [job_id], [])
+        """A job's durable record says cancelled; returns which others are by that."""
+        changes = PipelineChanges(cancelled=[job_id])
         self._cancel_dependents(changes)
         changes.cancelled.remove(job_id)
         return changes
@@ -172,7 +176,7 @@
                 stack.extend(node.unfinished_dependencies)
 
     def _recompute_urgency(self, job_ids: Iterable[str], changes: PipelineChanges) -> None:
-        """Jobs have fewer dependents than before: they may be less urgent, and what they need."""
+        """Jobs have fewer dependents now: they and their dependencies may be less urgent."""
         stack = sorted(job_ids)
         while stack:
             job_id = stack.pop()
@@ -189,8 +193,7 @@
 
 
 def _clearly_exceeds(urgency: Urgency, node: DependencyNode) -> bool:
-    """Whether a job has become so much more urgent than its node says that it is worth carrying
-    back."""
+    """Whether a job is so much more urgent than its node says that it is worth carrying back."""
     deadline_is_sooner = (
         urgency.deadline_at < node.deadline_at - MIN_PATH_GROWTH * node.critical_path_s
     )
--- a/fallpulley/jobs/stored_progress.py
+++ b/fallpulley/jobs/stored_progress.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from fallpulley.jobs.messages import Progress
@@ -24,12 +26,19 @@
     has_next: bool = False
 
 
+class ChunkKey(NamedTuple):
+    """What a progress value's key names."""
+
+    job_id: str
+    chunk_name: str
+
+
 def progress_key(job_id: str, chunk_name: str) -> str:
     """The key of a chunk of a job's progress."""
     return f"{PROGRESS_PREFIX}{job_id}/{chunk_name}"
 
 
-def parse_progress_key(key: str) -> tuple[str, str]:
+def parse_progress_key(key: str) -> ChunkKey:
     """Job id and name of the chunk that a key names; empty where it names none."""
     job_id, _, chunk_name = key[len(PROGRESS_PREFIX) :].rpartition("/")
-    return job_id, chunk_name
+    return ChunkKey(job_id, chunk_name)
--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -152,7 +152,7 @@
             job.runs.pop(run.task_index, None)
             self.shard.decisions.task_gone(run, status.exit_reason or "")
         if status.exit_reason == ExitReason.DONE:
-            if job.progress.mark_completed(named[1], self.context.now):
+            if job.progress.record_completion(named[1], self.context.now):
                 log.debug("task done task=%s machine=%s", status.task_id, machine.machine_id)
                 self._record_run_time(machine, job, run)
         elif run is not None:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -205,7 +205,7 @@
     tasks = chunk_tasks(16.0)
     big = open_job(100_000)
     for index in range(0, 100_000, 3):
-        big.progress.mark_completed(index, 0.0)
+        big.progress.record_completion(index, 0.0)
     again = open_job(100_000)
     for chunk in big.progress.unsaved_chunks(tasks):
         value = base64.b64encode(big.progress.completed.chunk(chunk, tasks)).decode()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -231,7 +231,7 @@
     assert older != newer
     done = open_job(100_000)
     for index in range(0, 100_000, 7):
-        done.progress.mark_completed(index, 0.0)
+        done.progress.record_completion(index, 0.0)
     values: dict[str, bytes] = {}
     for number in done.progress.unsaved_chunks(older)[:1]:
         values[chunk_name(number, older, False)] = done.progress.completed.chunk(number, older)
