--- a/fallpulley/controller/peer_messages.py
+++ b/fallpulley/controller/peer_messages.py
@@ -4,6 +4,7 @@
 
 from fallpulley.controller.job_sync import JobSync
 from fallpulley.extensions import Extensions
+from fallpulley.fleet.offer import Offer
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.messages import JobState
 from fallpulley.jobs.service import JobService
@@ -61,10 +62,5 @@
         """As the leader, rent the machines that the peer asks for."""
         for request in heartbeat.machine_requests:
             if request.shard_id in self.registry.shards and request.count > 0:
-                self.provider.scale_out(
-                    request.shard_id,
-                    request.machine_type,
-                    request.zone,
-                    request.spot,
-                    request.count,
-                )
+                offer = Offer(request.machine_type, request.zone, request.spot)
+                self.provider.scale_out(request.shard_id, offer, request.count)
--- a/fallpulley/fleet/action_guard.py
+++ b/fallpulley/fleet/action_guard.py
@@ -1,4 +1,4 @@
-"""What must be so before an action on machines goes out."""
+"""What must hold before an action on machines goes out."""
 
 from __future__ import annotations
 
@@ -8,42 +8,50 @@
 
 
 class ActionGuard(Protocol):
-    """Asked by the provider before each action, and told when it is settled."""
+    """Permits actions on machines. The provider asks it before each action, and notifies it when
+    the cloud has carried one out or refused it."""
 
     def may_adopt(self) -> bool:
-        """Machines that no record knows may be granted to blocks, or returned."""
+        """Machines that no record knows may be added to shards, or released."""
 
     def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
-        """The rental may go out now; else it is asked for again."""
+        """The rental request for a shard may go out now; else it is asked for again."""
 
     def on_rental_resolved(self, request_id: str) -> None:
-        """The cloud has answered the rental for good."""
+        """The cloud has answered the rental request for good."""
 
     def next_release_batch(self, machine_ids: list[str]) -> list[str]:
-        """Which machines may be returned now, of those named or of others; none: not yet."""
+        """Which machines may be released now, of those named or of others; empty: not yet."""
 
     def on_released(self, machine_ids: list[str]) -> None:
         """The cloud has confirmed that the machines are gone."""
 
     def cleanup_conditions(self) -> dict[str, int] | None:
-        """Conditions under which records may be dropped; None: not now."""
+        """Conditions under which records may be deleted, as keys and their revisions; None: they
+        may not be at present."""
 
 
 class PermitAll:
-    """Every action may go out: the leadership alone says whose they are."""
+    """An `ActionGuard` that permits every action: leadership alone says whose they are."""
 
     def may_adopt(self) -> bool:
+        """Always."""
         return True
 
     def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
+        """Always."""
         return True
 
-    def on_rental_resolved(self, request_id: str) -> None: ...
+    def on_rental_resolved(self, request_id: str) -> None:
+        """Nothing is recorded about it."""
 
     def next_release_batch(self, machine_ids: list[str]) -> list[str]:
+        """All of those named."""
         return machine_ids
 
-    def on_released(self, machine_ids: list[str]) -> None: ...
+    def on_released(self, machine_ids: list[str]) -> None:
+        """Nothing is recorded about it."""
 
     def cleanup_conditions(self) -> dict[str, int] | None:
+        """No conditions."""
         return {}
--- /dev/null
+++ b/fallpulley/fleet/adoption.py
@@ -0,0 +1,107 @@
+"""Machines that the cloud lists and no record knows: adopted into a shard, or released."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from fallpulley.context import ControllerContext
+from fallpulley.fleet.action_guard import ActionGuard
+from fallpulley.fleet.messages import FAILED_STATE, ListedMachine
+from fallpulley.fleet.releases import Releases
+from fallpulley.fleet.rentals import Rentals
+from fallpulley.fleet.shard_choice import ShardChoice
+from fallpulley.records.registry import Registry
+from fallpulley.records.shard_record import MachineEntry
+from fallpulley.records.writer import ShardWriter
+
+log = logging.getLogger(__name__)
+
+# A list may show a machine for so many of its lags after the release, and for a while more that
+# the call itself takes.
+RELEASE_VISIBLE_LAGS = 2
+RELEASE_VISIBLE_SECONDS = 2.0
+
+
+class Adoption:
+    """Decides about unrecorded machines, for the leader."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        registry: Registry,
+        writer: ShardWriter,
+        rentals: Rentals,
+        releases: Releases,
+        shard_choice: ShardChoice,
+        action_guard: Callable[[], ActionGuard],
+    ) -> None:
+        self.context = context
+        self.registry = registry
+        self.writer = writer
+        self.rentals = rentals
+        self.releases = releases
+        self.shard_choice = shard_choice
+        self._action_guard = action_guard
+        self._term_began_at = float("-inf")
+
+    def begin_term(self) -> None:
+        """This controller leads from now on."""
+        self._term_began_at = self.context.now
+
+    def adopt(self, machine_id: str, entry: MachineEntry) -> bool:
+        """Add a machine that the cloud lists to a shard; False where it was released, where it is
+        not ours to decide, or where no shard has room."""
+        if (
+            machine_id in self.releases.released_at
+            or machine_id in self.registry.release_records
+            or not self._action_guard().may_adopt()
+        ):
+            return False
+        shard_id = self.shard_choice.for_unrecorded()
+        if shard_id is None:
+            return False
+        log.info(
+            "machine adopted machine=%s type=%s shard=%s", machine_id, entry.machine_type, shard_id
+        )
+        self.writer.add(shard_id, machine_id, entry)
+        return True
+
+    def process_list(self, machines: dict[str, ListedMachine]) -> None:
+        """Adopt or release the unrecorded machines of a new list, by machine_id."""
+        if not self._action_guard().may_adopt():
+            return
+        visible_s = (
+            RELEASE_VISIBLE_LAGS * self.context.settings.facts.cloud.list_lag_s
+            + RELEASE_VISIBLE_SECONDS
+        )
+        has_recorded = any(record.machines for record, _ in self.registry.shards.values())
+        if has_recorded and self.context.now < self._term_began_at + visible_s:
+            return  # the list may still show what an earlier leader has released
+        for machine_id, machine in machines.items():
+            if not self._is_accounted_for(machine_id):
+                self._process_unrecorded(machine_id, machine, visible_s)
+
+    def _is_accounted_for(self, machine_id: str) -> bool:
+        """The machine is in a record or about to be, or is being released."""
+        return (
+            machine_id in self.registry.shard_of_machine
+            or machine_id in self.registry.release_records
+            or self.writer.is_being_added(machine_id)
+            or machine_id in self.releases.requested
+        )
+
+    def _process_unrecorded(
+        self, machine_id: str, machine: ListedMachine, visible_s: float
+    ) -> None:
+        released_at = self.releases.released_at.get(machine_id)
+        if released_at is not None:
+            # Released and listed again after the list's lag: the release got lost.
+            if self.context.now > released_at + visible_s:
+                self.releases.request(machine_id)
+        elif machine.state == FAILED_STATE:
+            self.releases.request(machine_id)
+        elif not self.rentals.pending:
+            # While a rental has no answer, the machine may be one that it rents.
+            entry = MachineEntry(machine.address, machine.machine_type, machine.zone, machine.spot)
+            self.adopt(machine_id, entry)
--- /dev/null
+++ b/fallpulley/fleet/cloud.py
@@ -0,0 +1,52 @@
+"""Calls to the cloud's API, within the rate that it allows."""
+
+from __future__ import annotations
+
+from typing import TypeVar
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.effects import Response, ResponseHandler
+from fallpulley.state.client import TokenBucket
+
+T = TypeVar("T")
+
+CALL_TIMEOUT_SECONDS = 3.0
+# Of the rate that the cloud allows, what is used.
+USED_RATE_SHARE = 0.9
+
+
+class CloudClient:
+    """Sends calls to the cloud while the budget allows them."""
+
+    def __init__(self, context: ControllerContext) -> None:
+        self.context = context
+        self.budget = TokenBucket(context.settings.facts.cloud.rps * USED_RATE_SHARE)
+
+    def call(
+        self, method: str, path: str, body: bytes | None, on_response: ResponseHandler
+    ) -> bool:
+        """Send a call; False where the budget has no token for it, and nothing was sent."""
+        if self.budget.tokens < 1:
+            return False
+        self.budget.tokens -= 1
+        self.context.call(
+            self.context.settings.endpoints.cloud,
+            method,
+            path,
+            body,
+            CALL_TIMEOUT_SECONDS,
+            on_response,
+        )
+        return True
+
+
+def decode_ok(response: Response, expected: type[T]) -> T | None:
+    """The decoded body of a successful response; None: it failed or its body is malformed."""
+    if not response.ok:
+        return None
+    try:
+        return msgspec.json.decode(response.body, type=expected)
+    except msgspec.MsgspecError:
+        return None
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -1,63 +1,86 @@
-"""The work of a block that its fleet is sized by."""
+"""The work of a shard that its fleet is sized by."""
 
 from __future__ import annotations
 
 from fallpulley.fleet.messages import MachineType
-from fallpulley.fleet.sizing import DemandGroup
+from fallpulley.fleet.sizing import DemandGroup, DemandKey
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.estimate import remaining_run_time
 from fallpulley.placement.plan import URGENT_PRIORITY_LEVEL
 from fallpulley.shards.shard import Shard
 
+# An enum's member costs more to look up than a module's constant, and this runs for every job.
+SERVICE, GANG = JobKind.SERVICE, JobKind.GANG
+
 
 def demand_groups(
     shard: Shard, machine_types: dict[str, MachineType], now: float, drain_s: float
 ) -> list[DemandGroup]:
-    """Queued and running work by the machines it may use."""
-    groups: dict[tuple[object, ...], DemandGroup] = {}
+    """Queued and running work by the machines it may use. `drain_s`: the seconds in which work is
+    to drain, at most counted for each task of a service."""
+    groups: dict[DemandKey, DemandGroup] = {}
     for job in shard.jobs.values():
         if job.cancelled or job.finished or job.waits_for_dependencies:
             continue  # machines rented for what cannot start yet would stand idle
         spec = job.spec
-        if job.processors_for_types is not machine_types:
-            job.processors_for_types, job.processors_per_task = (
-                machine_types,
-                _processors(job, machine_types),
-            )
-        processors = job.processors_per_task
-        estimate = shard.estimate_run_s(job)
-        if spec.kind == JobKind.SERVICE:
-            # Not work that drains: as much as occupies its own processors all the time.
-            estimate = min(estimate, drain_s)
-        work = job.waiting_count() * estimate * processors
-        for run in job.runs.values():
-            ran = now - run.started_at if run.started_at is not None else 0.0
-            work += remaining_run_time(estimate, ran) * processors
-        type_names = tuple(sorted(spec.machine_types)) if spec.machine_types is not None else None
-        urgent = job.priority_level >= URGENT_PRIORITY_LEVEL
-        key = (spec.allow_spot, type_names, spec.zone, urgent)
-        group = groups.setdefault(
-            key, DemandGroup(spec.allow_spot, type_names, spec.zone, 0.0, 0.0, urgent=urgent)
-        )
-        group.work += work
-        group.largest_task_cpus = max(group.largest_task_cpus, processors)
-        if spec.kind == JobKind.GANG:
-            group.largest_gang_cpus = max(group.largest_gang_cpus, spec.task_count * processors)
+        cpus_per_task = _cached_cpus_per_task(job, machine_types)
+        key = _key_of(job)
+        group = groups.get(key)
+        if group is None:
+            group = groups[key] = DemandGroup.of_key(key)
+        group.work += _remaining_work(shard, job, cpus_per_task, now, drain_s)
+        group.largest_task_cpus = max(group.largest_task_cpus, cpus_per_task)
+        if spec.kind is GANG:
+            group.largest_gang_cpus = max(group.largest_gang_cpus, spec.task_count * cpus_per_task)
     return list(groups.values())
 
 
-def _processors(job: OpenJob, machine_types: dict[str, MachineType]) -> float:
-    """A task's share of the cheapest machine that fits it, in processors."""
-    best: tuple[float, float] | None = None
+def _key_of(job: OpenJob) -> DemandKey:
+    spec = job.spec
+    type_names = tuple(sorted(spec.machine_types)) if spec.machine_types is not None else None
+    urgent = job.priority_level >= URGENT_PRIORITY_LEVEL
+    return DemandKey(spec.allow_spot, type_names, spec.zone, urgent)
+
+
+def _remaining_work(
+    shard: Shard, job: OpenJob, cpus_per_task: float, now: float, drain_s: float
+) -> float:
+    """What the job's waiting and running tasks have to do yet, in processor-seconds."""
+    estimate_s = shard.estimate_run_s(job)
+    if job.spec.kind is SERVICE:
+        # Not work that drains: as much as occupies its own processors all the time.
+        estimate_s = min(estimate_s, drain_s)
+    work = job.waiting_count() * estimate_s * cpus_per_task
+    for run in job.runs.values():
+        ran_s = now - run.started_at if run.started_at is not None else 0.0
+        work += remaining_run_time(estimate_s, ran_s) * cpus_per_task
+    return work
+
+
+def _cached_cpus_per_task(job: OpenJob, machine_types: dict[str, MachineType]) -> float:
+    """Computed once for each job and catalog."""
+    if job.processors_for_types is not machine_types:
+        job.processors_for_types = machine_types
+        job.processors_per_task = _cpus_per_task(job, machine_types)
+    return job.processors_per_task
+
+
+def _cpus_per_task(job: OpenJob, machine_types: dict[str, MachineType]) -> float:
+    """A task's share of the machine on which it costs the least, in processors."""
+    cheapest: tuple[float, float] | None = None  # price per hour, processors
     for machine_type in machine_types.values():
         if job.spec.machine_types is not None and machine_type.name not in job.spec.machine_types:
             continue
-        size = machine_type.capacity
-        if any(n > s for n, s in zip(job.resources, size, strict=True)):
+        capacity = machine_type.capacity
+        if any(needed > there for needed, there in zip(job.resources, capacity, strict=True)):
             continue
-        share = max(n / s for n, s in zip(job.resources, size, strict=True) if s > 0)
-        entry = (machine_type.price_per_hour * share, share * machine_type.cpus)
-        if best is None or entry < best:
-            best = entry
-    return best[1] if best else job.resources.cpus
+        share = max(
+            needed / there
+            for needed, there in zip(job.resources, capacity, strict=True)
+            if there > 0
+        )
+        candidate = (machine_type.price_per_hour * share, share * machine_type.cpus)
+        if cheapest is None or candidate < cheapest:
+            cheapest = candidate
+    return cheapest[1] if cheapest else job.resources.cpus
--- /dev/null
+++ b/fallpulley/fleet/releases.py
@@ -0,0 +1,113 @@
+"""Scale in: machines released to the cloud, and the records that ask for it."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.effects import Response
+from fallpulley.fleet.action_guard import ActionGuard
+from fallpulley.fleet.cloud import CALL_TIMEOUT_SECONDS, CloudClient
+from fallpulley.fleet.messages import MAX_RELEASED_MACHINES, ReleaseRequest
+from fallpulley.records.registry import Registry
+from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.watch_cache import WatchCache
+
+log = logging.getLogger(__name__)
+
+RELEASE_RETRY_SECONDS = 0.5
+
+
+class Releases:
+    """Releases the machines that records name, and those requested here; deletes the records once
+    all their machines are gone. One call at a time."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        watch: WatchCache,
+        registry: Registry,
+        cloud: CloudClient,
+        action_guard: Callable[[], ActionGuard],
+    ) -> None:
+        self.context = context
+        self.watch = watch
+        self.registry = registry
+        self.cloud = cloud
+        self.requested: set[str] = set()  # to be released, whatever records say
+        # When the cloud confirmed that a machine is gone, by machine_id.
+        self.released_at: dict[str, float] = {}
+        self.next_attempt_at = float("-inf")
+        self._action_guard = action_guard
+        self._records_being_deleted: set[str] = set()
+
+    def request(self, machine_id: str) -> None:
+        """Release a machine, though it may have been released before."""
+        self.released_at.pop(machine_id, None)
+        self.requested.add(machine_id)
+
+    def tick(self) -> None:
+        """Send the next release, if there is any."""
+        now = self.context.now
+        if now < self.next_attempt_at:
+            return
+        due = self._due()
+        machine_ids = self._action_guard().next_release_batch(due[:MAX_RELEASED_MACHINES])
+        if not machine_ids:
+            return
+
+        def on_response(response: Response) -> None:
+            self._on_response(machine_ids, response)
+
+        body = msgspec.json.encode(ReleaseRequest(machine_ids))
+        if self.cloud.call("POST", "/rentals/release", body, on_response):
+            self.next_attempt_at = now + CALL_TIMEOUT_SECONDS + RELEASE_RETRY_SECONDS
+
+    def _due(self) -> list[str]:
+        recorded = self.registry.release_records
+        machine_ids = [
+            machine_id
+            for machine_id, key in recorded.items()
+            if key not in self._records_being_deleted
+        ]
+        machine_ids += [machine_id for machine_id in self.requested if machine_id not in recorded]
+        return machine_ids
+
+    def _on_response(self, machine_ids: list[str], response: Response) -> None:
+        if not response.ok:
+            self.next_attempt_at = self.context.now + RELEASE_RETRY_SECONDS
+            return
+        self.next_attempt_at = float("-inf")
+        for machine_id in machine_ids:
+            self.released_at[machine_id] = self.context.now
+            self.requested.discard(machine_id)
+        for key in {self.registry.release_records.get(machine_id) for machine_id in machine_ids}:
+            if key is not None and self._all_released(key):
+                self._delete_record(key)
+        self._action_guard().on_released(machine_ids)
+        log.info("machines released count=%d first_machine=%s", len(machine_ids), machine_ids[0])
+
+    def _all_released(self, key: str) -> bool:
+        machine_ids = self.registry.machines_by_release_record[key]
+        return all(machine_id in self.released_at for machine_id in machine_ids)
+
+    def _delete_record(self, key: str) -> None:
+        conditions = self._action_guard().cleanup_conditions()
+        if conditions is None:
+            return  # the record stays; its machines are released once more
+        self._records_being_deleted.add(key)
+
+        def on_result(result: WriteResult) -> None:
+            self._records_being_deleted.discard(key)
+
+        self.context.state_client.write(
+            Write(
+                {key: self.watch.mod_revision(key), **conditions},
+                [Change(key, None)],
+                on_result,
+                RequestPriority.PROGRESS,
+            )
+        )
--- /dev/null
+++ b/fallpulley/fleet/rentals.py
@@ -0,0 +1,198 @@
+"""Scale out: rental requests to the cloud, and machines granted to shards."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import NamedTuple
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.effects import Response
+from fallpulley.fleet.action_guard import ActionGuard
+from fallpulley.fleet.catalog import CatalogUpdater
+from fallpulley.fleet.cloud import CloudClient, decode_ok
+from fallpulley.fleet.messages import (
+    DEFAULT_BOOT_SECONDS,
+    MAX_RENTED_MACHINES,
+    RentalRequest,
+    RentalResponse,
+)
+from fallpulley.fleet.offer import Offer
+from fallpulley.fleet.refusals import RefusedOffers
+from fallpulley.fleet.releases import Releases
+from fallpulley.fleet.shard_choice import ShardChoice
+from fallpulley.records.registry import Registry
+from fallpulley.records.shard_record import MachineEntry
+from fallpulley.records.writer import ShardWriter
+
+log = logging.getLogger(__name__)
+
+RENTAL_RETRY_SECONDS = 1.0
+# What the body of a refusal says where the cloud has no such machines at present.
+NO_CAPACITY = b"no capacity"
+
+
+class PendingRental(NamedTuple):
+    """A request that the cloud has not answered for good."""
+
+    request: RentalRequest
+    shard_id: str  # that it was made for
+
+
+class Rentals:
+    """Rental requests of this controller as the leader, each repeated until it is answered."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        registry: Registry,
+        writer: ShardWriter,
+        cloud: CloudClient,
+        catalog: CatalogUpdater,
+        releases: Releases,
+        shard_choice: ShardChoice,
+        action_guard: Callable[[], ActionGuard],
+    ) -> None:
+        self.context = context
+        self.registry = registry
+        self.writer = writer
+        self.cloud = cloud
+        self.catalog = catalog
+        self.releases = releases
+        self.shard_choice = shard_choice
+        self.pending: dict[str, PendingRental] = {}  # by request_id
+        self.answered_at = float("-inf")  # when the cloud last answered a rental request
+        self._action_guard = action_guard
+        self._refused_offers = RefusedOffers()
+        self._term = 0
+        self._request_count = 0  # in this term
+        self._in_flight: set[str] = set()
+        self._retry_at: dict[str, float] = {}
+
+    def begin_term(self, term: int) -> None:
+        """This controller leads with a new term. Requests of an earlier term keep their ids; a new
+        term never uses them."""
+        self._term = term
+        self._request_count = 0
+        self.pending.clear()
+
+    def tick(self) -> None:
+        """Send the requests that are neither in flight nor waiting for their next attempt."""
+        now = self.context.now
+        for request_id in list(self.pending):
+            if request_id not in self._in_flight and now >= self._retry_at.get(request_id, 0.0):
+                self._send(request_id)
+
+    def refused_offers(self) -> set[Offer]:
+        """Offers not to be asked for at present."""
+        return self._refused_offers.current(self.context.now)
+
+    def pending_of(self, shard_id: str) -> list[RentalRequest]:
+        """Requests made for a shard that the cloud has not answered for good."""
+        return [
+            pending.request for pending in self.pending.values() if pending.shard_id == shard_id
+        ]
+
+    def scale_out(self, shard_id: str, offer: Offer, count: int) -> None:
+        """Ask for machines, unless the offer was refused lately or the shard has a request for it
+        already. At most `MAX_RENTED_MACHINES` at a time."""
+        if offer in self.refused_offers():
+            return
+        for request in self.pending_of(shard_id):
+            if request.offer == offer:
+                return
+        self._request_count += 1
+        # The term is the revision of the leader's record, so no other leader, nor we in another
+        # term or process, can make this id again.
+        request_id = f"hire-{self._term}-{self._request_count}"
+        request = RentalRequest(request_id, *offer, min(count, MAX_RENTED_MACHINES))
+        self.pending[request_id] = PendingRental(request, shard_id)
+        self._send(request_id)
+
+    def resume(self, request: RentalRequest, shard_id: str) -> None:
+        """Repeat a request that was recorded, by us or by a predecessor, and that may not have been
+        answered: the same id gets the same answer."""
+        if request.request_id not in self.pending:
+            log.info("rental resumed request=%s count=%d", request.request_id, request.count)
+            self.pending[request.request_id] = PendingRental(request, shard_id)
+
+    def _send(self, request_id: str) -> None:
+        rental = self.pending[request_id]
+        if not self._action_guard().may_scale_out(rental.request, rental.shard_id):
+            return
+
+        def on_response(response: Response) -> None:
+            self._on_response(rental, response)
+
+        if self.cloud.call("POST", "/rentals", msgspec.json.encode(rental.request), on_response):
+            self._in_flight.add(request_id)
+
+    def _on_response(self, rental: PendingRental, response: Response) -> None:
+        request = rental.request
+        now = self.context.now
+        self._in_flight.discard(request.request_id)
+        self._retry_at[request.request_id] = now + RENTAL_RETRY_SECONDS
+        self.answered_at = now
+        if request.request_id not in self.pending:
+            # Sent before our last change of term: the machines are ours all the same.
+            if response.ok:
+                self._grant_machines(rental, response)
+        elif response.ok:
+            self._resolve(request.request_id)
+            granted = self._grant_machines(rental, response)
+            if granted < request.count:
+                self._on_refused(request.offer)
+            else:
+                self._refused_offers.on_filled(request.offer)
+        elif _is_refusal(response):
+            self._resolve(request.request_id)
+            self._on_refused(request.offer)
+
+    def _resolve(self, request_id: str) -> None:
+        del self.pending[request_id]
+        self._action_guard().on_rental_resolved(request_id)
+
+    def _grant_machines(self, rental: PendingRental, response: Response) -> int:
+        """Add the rented machines to a shard; returns how many the cloud gave."""
+        request = rental.request
+        answer = decode_ok(response, RentalResponse) or RentalResponse()
+        shard_id = self.shard_choice.for_rental(rental.shard_id)
+        log.info(
+            "machines rented count=%d requested=%d type=%s zone=%s spot=%s shard=%s",
+            len(answer.machine_ids),
+            request.count,
+            request.machine_type,
+            request.zone,
+            request.spot,
+            shard_id,
+        )
+        for machine_id in answer.machine_ids:
+            if (
+                machine_id not in self.registry.shard_of_machine
+                and machine_id not in self.releases.released_at
+            ):
+                entry = MachineEntry("", request.machine_type, request.zone, request.spot)
+                self.writer.add(shard_id, machine_id, entry)
+        return len(answer.machine_ids)
+
+    def _on_refused(self, offer: Offer) -> None:
+        machine_type = self.catalog.machine_types.get(offer.machine_type)
+        boot_s = machine_type.boot_s if machine_type is not None else DEFAULT_BOOT_SECONDS
+        wait_s = self._refused_offers.on_refused(offer, boot_s, self.context.now)
+        log.info(
+            "rental refused type=%s zone=%s spot=%s seconds=%.0f",
+            offer.machine_type,
+            offer.zone,
+            offer.spot,
+            wait_s,
+        )
+
+
+def _is_refusal(response: Response) -> bool:
+    """The cloud has answered for good; any other failure is tried again."""
+    return response.status == HTTPStatus.BAD_REQUEST or (
+        response.status == HTTPStatus.SERVICE_UNAVAILABLE and NO_CAPACITY in response.body
+    )
--- /dev/null
+++ b/fallpulley/fleet/supply.py
@@ -0,0 +1,110 @@
+"""The machines that a shard can count on: there, rented, or being added to its record."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from fallpulley.fleet.messages import MachineType, RentalRequest
+from fallpulley.fleet.sizing import SupplyUnit
+from fallpulley.records.shard_record import MachineEntry
+from fallpulley.shards.shard import Shard
+from fallpulley.workers.machine import Machine
+
+# A machine that is not up after so many boot times is not counted on. Some take several times as
+# long, a few never come.
+LATE_BOOT_TIMES = 2.0
+
+# A machine whose heartbeats come but that has not heard us for so many heartbeats is not counted
+# on.
+UNACKNOWLEDGED_HEARTBEATS = 2.0
+
+
+def machine_supply(
+    shard: Shard, machine_types: dict[str, MachineType], now: float
+) -> list[SupplyUnit]:
+    """The machines of the shard's record that are up, or about to be."""
+    max_unacknowledged_s = UNACKNOWLEDGED_HEARTBEATS * shard.context.timing.report_s
+    supply = []
+    for machine in shard.machines.values():
+        machine_type = machine_types.get(machine.entry.machine_type)
+        if machine_type is None or not _is_counted(
+            machine, machine_type, now, max_unacknowledged_s
+        ):
+            continue
+        idle_s = None
+        if machine.usable and machine.empty and machine.scale_in.idle_since is not None:
+            idle_s = now - machine.scale_in.idle_since
+        supply.append(
+            SupplyUnit(
+                machine.machine_id,
+                machine_type.name,
+                machine.entry.zone,
+                machine.entry.spot,
+                machine_type.cpus,
+                idle_s,
+            )
+        )
+    return supply
+
+
+def _is_counted(
+    machine: Machine, machine_type: MachineType, now: float, max_unacknowledged_s: float
+) -> bool:
+    scale_in = machine.scale_in
+    if scale_in.leaving_shard or scale_in.release_decided or scale_in.failed_in_cloud:
+        return False
+    if scale_in.preempted_at is not None:
+        return False
+    if not machine.heartbeat.ever_online:
+        if now - machine.granted_at > LATE_BOOT_TIMES * machine_type.boot_s:
+            return False
+    elif not machine.heartbeat.online:
+        return False
+    if not machine.fencing.fenced:
+        return True
+    since = machine.fencing.unacknowledged_since
+    return since is None or now - since <= max_unacknowledged_s
+
+
+def rented_supply(
+    requests: Iterable[RentalRequest], machine_types: dict[str, MachineType]
+) -> list[SupplyUnit]:
+    """The machines of rental requests that the cloud has not answered."""
+    supply = []
+    for request in requests:
+        machine_type = machine_types.get(request.machine_type)
+        if machine_type is None:
+            continue
+        supply += [
+            SupplyUnit(
+                f"{request.request_id}/{number}",
+                request.machine_type,
+                request.zone,
+                request.spot,
+                machine_type.cpus,
+                None,
+            )
+            for number in range(request.count)
+        ]
+    return supply
+
+
+def added_supply(
+    shard: Shard, adding: dict[str, MachineEntry], machine_types: dict[str, MachineType]
+) -> list[SupplyUnit]:
+    """Machines granted to the shard, by machine_id, that are not in its record yet."""
+    supply = []
+    for machine_id, entry in adding.items():
+        machine_type = machine_types.get(entry.machine_type)
+        if machine_type is not None and machine_id not in shard.machines:
+            supply.append(
+                SupplyUnit(
+                    machine_id,
+                    entry.machine_type,
+                    entry.zone,
+                    entry.spot,
+                    machine_type.cpus,
+                    None,
+                )
+            )
+    return supply
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -144,7 +144,7 @@
 def is_returning(world: World, label: str, host: str) -> bool:
     """The controller has just asked the cloud to take the machine back."""
     provider = world.controllers[label].parts.provider
-    asked = host in provider.release_requested and provider._next_release > world.now
+    asked = host in provider.release_requested and provider.releases.next_attempt_at > world.now
     if world.controllers[label].parts.extensions.find(DutiesService) is not None:
         return asked and any("returning" in key for key in open_intents(world))
     return asked
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -17,6 +17,7 @@
 from fallpulley.cli import main
 from fallpulley.effects import HttpCall, Response
 from fallpulley.fleet.messages import MachineType
+from fallpulley.fleet.offer import Offer
 from fallpulley.fleet.sizing import DemandGroup, SupplyUnit, size_fleet
 from fallpulley.jobs.messages import JobRecord, parse_submission
 from fallpulley.jobs.open_job import OpenJob, chunk_tasks
@@ -232,12 +233,12 @@
     work = [DemandGroup(True, None, None, 1600.0, 4.0)]
     sizing = size_fleet(work, [], {"box": KIND}, set(), 0.5, 0.75, 100)
     assert sum(rent.count for rent in sizing.scale_out) == 10
-    assert {rent.spot for rent in sizing.scale_out} == {True}
-    assert {rent.zone for rent in sizing.scale_out} == {"a", "b"}
+    assert {rent.offer.spot for rent in sizing.scale_out} == {True}
+    assert {rent.offer.zone for rent in sizing.scale_out} == {"a", "b"}
     # Work that may not use spot machines gets ordinary ones; refused kinds are passed over.
     ordinary = [DemandGroup(False, None, None, 160.0, 4.0)]
-    sizing = size_fleet(ordinary, [], {"box": KIND}, {("box", "a", False)}, 0.5, 0.75, 100)
-    assert [(rent.zone, rent.spot) for rent in sizing.scale_out] == [("b", False)]
+    sizing = size_fleet(ordinary, [], {"box": KIND}, {Offer("box", "a", False)}, 0.5, 0.75, 100)
+    assert [(rent.offer.zone, rent.offer.spot) for rent in sizing.scale_out] == [("b", False)]
     idle = [
         SupplyUnit("m1", "box", "a", True, 8.0, 100.0),
         SupplyUnit("m2", "box", "a", True, 8.0, 5.0),
