--- a/fallpulley/capacity.py
+++ b/fallpulley/capacity.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from fallpulley.balancing.shard_sizes import (
     HEARTBEAT_CPU_SECONDS,
     HEARTBEAT_CPU_SHARE,
@@ -10,69 +12,122 @@
 from fallpulley.settings import SERVE_SHARE, Settings
 
 # What a controller was measured to need, on simulated machines. Processor time from its start to
-# its first session, rounded up, and what it takes as a share of a core with nothing to do.
-START_CPU_S = 0.15
-IDLE_SHARE = 0.008
-# Memory after its start, rounded up, and that of the largest holder measured (950 machines, 1,400
+# its first session, rounded up, and what it uses as a share of a core with nothing to do.
+START_CPU_SECONDS = 0.15
+IDLE_CPU_SHARE = 0.008
+# Memory after its start, rounded up, and that of the largest owner measured (950 machines, 1,400
 # jobs) beyond it, for each machine.
-START_MB, MACHINE_MB = 24.0, 0.05
-# A controller that is to take over must start well within a worker's lease.
-START_LEASES = 0.5
+START_MEMORY_MB, MACHINE_MEMORY_MB = 24.0, 0.05
+# A controller that is to take part in a failover must start well within a worker's lease.
+MAX_START_LEASES = 0.5
+
+
+@dataclass(frozen=True, slots=True)
+class Shortage:
+    """A setting that says the machine or the deployment has too little of something. As a string
+    it is what operators read."""
 
+    setting: str  # its full name
+    actual: str
+    verdict: str
+    need: str  # with the figure
 
-def shortages(settings: Settings) -> list[str]:
-    """What the machine lacks, each with the figure needed, from measured needs and the settings."""
-    limits, workers = settings.facts.machine_limits, settings.facts.workers
-    share = max(2 * IDLE_SHARE, START_CPU_S / (START_LEASES * workers.lease_s))
-    # Memory for as many machines as there are sockets for: each holds one while it reports.
-    memory_mb = START_MB + MACHINE_MB * limits.sockets
+    def __str__(self) -> str:
+        return f"{self.setting}: {self.actual} {self.verdict}, {self.need}"
+
+
+def shortages(settings: Settings) -> list[Shortage]:
+    """What the machine lacks for a controller to start, and to serve as many machines as there are
+    sockets; from measured needs and the settings."""
+    limits = settings.facts.machine_limits
+    core_share = max(
+        2 * IDLE_CPU_SHARE,
+        START_CPU_SECONDS / (MAX_START_LEASES * settings.facts.workers.lease_s),
+    )
+    # Each machine holds a socket during its heartbeat.
+    memory_mb = _memory_mb(limits.sockets)
     found = []
-    if limits.core_share < share:
+    if limits.core_share < core_share:
         found.append(
-            f"facts.machine_limits.core_share: {limits.core_share:g} is too small, {share:.3g} is"
-            f" needed to start within {START_LEASES:g} of lease_s"
+            _core_share_shortage(
+                limits.core_share,
+                "is too small",
+                f"{core_share:.3g} is needed to start within {MAX_START_LEASES:g} of lease_s",
+            )
         )
-    if limits.memory_mb < START_MB:
+    if limits.memory_mb < START_MEMORY_MB:
         found.append(
-            f"facts.machine_limits.memory_mb: {limits.memory_mb:g} is too small, {START_MB:g} is"
-            " needed to start"
+            _memory_shortage(
+                limits.memory_mb, "is too small", f"{START_MEMORY_MB:g} is needed to start"
+            )
         )
     elif limits.memory_mb < memory_mb:
         found.append(
-            f"facts.machine_limits.memory_mb: {limits.memory_mb:g} may be too small,"
-            f" {memory_mb:.0f} is needed for as many machines as there are sockets"
+            _memory_shortage(
+                limits.memory_mb,
+                "may be too small",
+                f"{memory_mb:.0f} is needed for as many machines as there are sockets",
+            )
         )
     return found
 
 
-def shortages_for(settings: Settings, machines: int) -> list[str]:
-    """What one controller lacks to carry so many machines, as the last one left would have to, each
-    with the figure needed. None of it breaks a rule: what can't be taken is refused or late."""
-    limits, workers = settings.facts.machine_limits, settings.facts.workers
-    share = machines * HEARTBEAT_CPU_SECONDS / (HEARTBEAT_CPU_SHARE * workers.report_s)
-    sockets = machines / SERVE_SHARE
-    memory_mb = START_MB + MACHINE_MB * machines
-    shards = -(-machines // machines_per_shard(settings.facts))
+def shortages_for(settings: Settings, machine_count: int) -> list[Shortage]:
+    """What one controller lacks to carry so many machines, as the last one left would have to.
+    None of it breaks a rule: what can't be served is refused or late."""
+    limits = settings.facts.machine_limits
+    core_share = (
+        machine_count
+        * HEARTBEAT_CPU_SECONDS
+        / (HEARTBEAT_CPU_SHARE * settings.facts.workers.report_s)
+    )
+    sockets = machine_count / SERVE_SHARE
+    memory_mb = _memory_mb(machine_count)
+    controllers = -(-machine_count // machines_per_shard(settings.facts))
+    fleet = f"for {machine_count} machines with one controller left"
     found = []
-    if limits.core_share < share:
+    if limits.core_share < core_share:
         found.append(
-            f"facts.machine_limits.core_share: {limits.core_share:g} is too small for {machines}"
-            f" machines with one controller left, {share:.3g} is needed"
+            _core_share_shortage(
+                limits.core_share, f"is too small {fleet}", f"{core_share:.3g} is needed"
+            )
         )
     if limits.sockets < sockets:
         found.append(
-            f"facts.machine_limits.sockets: {limits.sockets} are too few for {machines} machines"
-            f" with one controller left, {sockets:.0f} are needed; below that, connections of"
-            " machines end with their answers"
+            Shortage(
+                "facts.machine_limits.sockets",
+                f"{limits.sockets}",
+                f"are too few {fleet}",
+                f"{sockets:.0f} are needed; below that, connections of machines end with their"
+                " answers",
+            )
         )
     if limits.memory_mb < memory_mb:
         found.append(
-            f"facts.machine_limits.memory_mb: {limits.memory_mb:g} is too small for {machines}"
-            f" machines with one controller left, {memory_mb:.0f} is needed"
+            _memory_shortage(
+                limits.memory_mb, f"is too small {fleet}", f"{memory_mb:.0f} is needed"
+            )
         )
-    if shards > settings.facts.nodes:
+    if controllers > settings.facts.nodes:
         found.append(
-            f"facts.nodes: {settings.facts.nodes} are too few for {machines} machines on such"
-            f" controllers, {shards} are needed for each to serve its part in time"
+            Shortage(
+                "facts.nodes",
+                f"{settings.facts.nodes}",
+                f"are too few for {machine_count} machines on such controllers",
+                f"{controllers} are needed for each to serve its part in time",
+            )
         )
     return found
+
+
+def _memory_mb(machine_count: int) -> float:
+    """What a controller uses that owns so many machines."""
+    return START_MEMORY_MB + MACHINE_MEMORY_MB * machine_count
+
+
+def _core_share_shortage(core_share: float, verdict: str, need: str) -> Shortage:
+    return Shortage("facts.machine_limits.core_share", f"{core_share:g}", verdict, need)
+
+
+def _memory_shortage(memory_mb: float, verdict: str, need: str) -> Shortage:
+    return Shortage("facts.machine_limits.memory_mb", f"{memory_mb:g}", verdict, need)
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -373,7 +373,7 @@
     least: list[Resources] = []
     low = Resources(math.inf, math.inf, math.inf)
     for job in reversed(jobs):
-        low = low.least_of(job.resources)
+        low = low.minimum(job.resources)
         least.append(low)
     least.reverse()
     for place, job in enumerate(jobs):
--- a/fallpulley/resources.py
+++ b/fallpulley/resources.py
@@ -1,4 +1,4 @@
-"""Amounts of what a task takes of its machine, and of what a machine has."""
+"""What a task uses of its machine, and what a machine has."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Resources(NamedTuple):
-    """Processors, accelerators and memory."""
+    """Amounts of processors, accelerators and memory."""
 
-    cpus: float
+    cpus: float  # fractions of processors too
     gpus: float
     memory_gb: float
 
     def fits_in(self, free: Resources) -> bool:
-        """Whether this much is there."""
+        """Whether `free` has this much of each, within `TOLERANCE`."""
         return (
             self.cpus <= free.cpus + TOLERANCE
             and self.gpus <= free.gpus + TOLERANCE
@@ -24,19 +24,19 @@
         )
 
     def plus(self, other: Resources) -> Resources:
-        """Both together."""
+        """The sum of each amount."""
         return Resources(
             self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb
         )
 
     def minus(self, other: Resources) -> Resources:
-        """What is left of it."""
+        """The difference of each amount, which may be negative."""
         return Resources(
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
-    def least_of(self, other: Resources) -> Resources:
-        """The lesser of each amount."""
+    def minimum(self, other: Resources) -> Resources:
+        """The smaller of each amount."""
         return Resources(
             min(self.cpus, other.cpus),
             min(self.gpus, other.gpus),
--- a/fallpulley/timing.py
+++ b/fallpulley/timing.py
@@ -8,28 +8,28 @@
 
 # Steady clocks drift apart by up to 0.05%; twice that covers two clocks running apart.
 CLOCK_DRIFT = 1.001
-# Of the time that a cancellation has, what is kept for responses under way, slow steps and the
-# clocks' drift.
-SLACK_SHARE = 0.1
-# A worker's heartbeat may be late by so much of its interval.
-HEARTBEAT_JITTER = 0.25
+# Of the time in which a cancellation must have reached all tasks, what is kept for responses under
+# way, slow steps and the clocks' drift.
+CANCELLATION_SLACK_SHARE = 0.1
+# A worker's heartbeat may be late by this share of its interval.
+HEARTBEAT_JITTER_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """All in seconds."""
+    """How long heartbeats, leases and sessions last; all in seconds."""
 
     report_s: float  # between two heartbeats of a worker
-    lease_s: float  # a worker's
+    lease_s: float  # a worker's lease
     response_window_s: float  # how long an owner without the state service goes on responding
-    session_s: float  # a controller's session ends this long after its last renewal
-    lease_expiry_s: float  # a worker's lease has certainly expired so long after a response to it
+    session_s: float  # a controller's session, from its last renewal
+    lease_expiry_s: float  # from a response to a worker until its lease has certainly expired
 
 
 def timing_of(settings: Settings) -> Timing:
-    """The times of one deployment."""
+    """The times of one deployment. An optional standby may shorten sessions."""
     workers = settings.facts.workers
-    slack_s = SLACK_SHARE * workers.cancel_s
+    slack_s = CANCELLATION_SLACK_SHARE * workers.cancel_s
     session_s = settings.operators.session_share * workers.lease_s
     standby = settings.operators.standby
     if standby.enabled:
@@ -39,5 +39,5 @@
         lease_s=workers.lease_s,
         response_window_s=workers.cancel_s - workers.lease_s - slack_s,
         session_s=session_s,
-        lease_expiry_s=workers.lease_s * CLOCK_DRIFT + HEARTBEAT_JITTER * workers.report_s,
+        lease_expiry_s=workers.lease_s * CLOCK_DRIFT + HEARTBEAT_JITTER_SHARE * workers.report_s,
     )
