--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -15,6 +15,7 @@
 from fallpulley.controller.record_dispatch import RecordDispatcher
 from fallpulley.controller.router import Router
 from fallpulley.controller.shard_lifecycle import ShardLifecycle
+from fallpulley.controller_access import ControllerAccess
 from fallpulley.extensions import Extensions
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
@@ -150,6 +151,14 @@
 def _add_extensions(parts: ControllerParts) -> None:
     """Only a controller that is to have an extension imports it."""
     operators = parts.context.settings.operators
+    access = ControllerAccess(
+        parts.context,
+        parts.watch,
+        parts.registry,
+        parts.session,
+        parts.leadership,
+        parts.owned,
+    )
     if operators.standby.enabled:
         from fallpulley.standby.service import Standby
 
@@ -172,14 +181,4 @@
     if operators.duties.enabled:
         from fallpulley.duties.service import DutiesService
 
-        parts.extensions.add(
-            DutiesService(
-                parts.context,
-                parts.watch,
-                parts.registry,
-                parts.session,
-                parts.leadership,
-                parts.provider,
-                parts.owned,
-            )
-        )
+        parts.extensions.add(DutiesService(access, parts.provider))
--- /dev/null
+++ b/fallpulley/controller_access.py
@@ -0,0 +1,57 @@
+"""What an extension with records of its own is given of the controller that it is part of."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from fallpulley.context import ControllerContext
+from fallpulley.membership.leadership import Leadership
+from fallpulley.membership.session import SessionLease
+from fallpulley.records.registry import Registry
+from fallpulley.shards.owned import OwnedShards
+from fallpulley.state.client import Change, RequestPriority, Write, WriteCallback
+from fallpulley.state.watch_cache import WatchCache
+
+# A write that has not gone out by then is given up, and decided anew.
+MAX_WRITE_WAIT_SECONDS = 2.0
+
+
+@dataclass(frozen=True)
+class ControllerAccess:
+    """The controller's parts that extensions read, and how they write records of their own."""
+
+    context: ControllerContext
+    watch: WatchCache
+    registry: Registry
+    session: SessionLease
+    leadership: Leadership
+    owned: OwnedShards
+
+    @property
+    def is_leader(self) -> bool:
+        """This controller leads, by the records as last seen."""
+        return self.leadership.term is not None
+
+    def compare_and_set(
+        self,
+        conditions: dict[str, int],
+        change: Change,
+        on_result: WriteCallback,
+        priority: RequestPriority,
+        *,
+        isolated: bool = False,
+    ) -> None:
+        """Write one record if every key in `conditions` still has the revision given there.
+
+        `isolated` keeps the write out of transactions with others, whose conditions could fail.
+        """
+        self.context.state_client.write(
+            Write(
+                conditions,
+                [change],
+                on_result,
+                priority,
+                isolated=isolated,
+                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
+            )
+        )
--- /dev/null
+++ b/fallpulley/duties/guard.py
@@ -0,0 +1,139 @@
+"""Lets an action on machines through once its intent is durable and its duty certainly owned.
+
+The next owner of a duty carries out the intents that its predecessor left open first: all actions
+may be repeated, and what comes late from a predecessor is then what has been done already.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from fallpulley.controller_access import ControllerAccess
+from fallpulley.duties.intents import IntentWriter
+from fallpulley.duties.messages import Duty, Release, ScaleOut, duty_key
+from fallpulley.duties.ownership import DutyOwnership
+from fallpulley.duties.registry import DutyRegistry
+from fallpulley.fleet.action_guard import ActionGuard
+from fallpulley.fleet.messages import RentalRequest
+from fallpulley.fleet.provider import MachineProvider
+from fallpulley.records.registry import SHARD_PREFIX
+
+# The machine ids of one intent take at most this share of the longest value of a record.
+MAX_INTENT_VALUE_SHARE = 0.5
+
+
+class DutyActionGuard(ActionGuard):
+    """Permits what this controller has recorded under the token of a duty."""
+
+    def __init__(
+        self,
+        access: ControllerAccess,
+        provider: MachineProvider,
+        duty_registry: DutyRegistry,
+        ownership: DutyOwnership,
+        intents: IntentWriter,
+    ) -> None:
+        self._access = access
+        self._provider = provider
+        self._duty_registry = duty_registry
+        self._ownership = ownership
+        self._intents = intents
+
+    def may_adopt(self) -> bool:
+        """This controller may adopt or release machines that no record knows."""
+        return self._ownership.owns(Duty.ADOPTION)
+
+    def cleanup_conditions(self) -> dict[str, int] | None:
+        """Conditions for deleting records (key -> revision); None: it is another one's duty."""
+        token = self._ownership.token(Duty.CLEANUP)
+        return None if token is None else {duty_key(Duty.CLEANUP): token}
+
+    # -- scaling out -----------------------------------------------------------------------
+
+    def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
+        """The request is recorded and the duty owned. What is not recorded yet is written now,
+        unless a previous owner's rental is still open."""
+        token = self._ownership.token(Duty.SCALE_OUT)
+        if token is None:
+            return False
+        if self._intents_of_request(request.request_id):
+            return True
+        if not self._duty_registry.has_unresolved_intent(Duty.SCALE_OUT, token):
+            action = ScaleOut(request, shard_id)
+            self._intents.write(Duty.SCALE_OUT, token, action, request.request_id, {})
+        return False
+
+    def on_rental_resolved(self, request_id: str) -> None:
+        """The cloud has answered the rental for good."""
+        for key in self._intents_of_request(request_id):
+            self._intents.delete(key)
+
+    def resume_scale_outs(self) -> None:
+        """Send the recorded rentals again that are not resolved, also those of predecessors."""
+        if not self._ownership.owns(Duty.SCALE_OUT):
+            return
+        for key, action in self._duty_registry.scale_outs():
+            if not self._intents.is_deleting(key):
+                self._provider.resume_rental(action.request, action.shard_id)
+
+    def _intents_of_request(self, request_id: str) -> list[str]:
+        """Keys of the intents of a rental: two, where the response to the first was lost."""
+        return [
+            key
+            for key, action in self._duty_registry.scale_outs()
+            if action.request.request_id == request_id
+        ]
+
+    # -- releasing -------------------------------------------------------------------------
+
+    def next_release_batch(self, machine_ids: list[str]) -> list[str]:
+        """The machines whose release may go out now: those of the oldest open intent. Where there
+        is none, one is recorded for `machine_ids`."""
+        token = self._ownership.token(Duty.RELEASE)
+        if token is None:
+            return []
+        for key, action in self._duty_registry.releases():
+            if not self._intents.is_deleting(key):
+                return action.machine_ids
+        self._record_release(token, machine_ids)
+        return []
+
+    def on_released(self, machine_ids: list[str]) -> None:
+        """The cloud has confirmed that the machines are gone."""
+        released = set(machine_ids)
+        for key, action in list(self._duty_registry.releases()):
+            if set(action.machine_ids) <= released:
+                self._intents.delete(key)
+
+    def _record_release(self, token: int, machine_ids: list[str]) -> None:
+        conditions: dict[str, int] = {}
+        batch = []
+        for machine_id in machine_ids:
+            shard_id = self._access.registry.shard_of_machine.get(machine_id)
+            if shard_id is None or self._decide_release(shard_id, machine_id, conditions):
+                batch.append(machine_id)
+            else:
+                # Another owner's by now, or its heartbeat came.
+                self._provider.release_requested.discard(machine_id)
+        batch = self._limit_to_value(batch)
+        if batch:
+            self._intents.write(Duty.RELEASE, token, Release(batch), Duty.RELEASE, conditions)
+
+    def _decide_release(self, shard_id: str, machine_id: str, conditions: dict[str, int]) -> bool:
+        """Only a shard's owner releases its machines, conditioned on the shard's revision: any
+        later owner sees the intent before it acquires the shard. False: not to be released."""
+        shard = self._access.owned.shards.get(shard_id)
+        if shard is None:
+            return False
+        scale_in = shard.machines[machine_id].scale_in
+        if not scale_in.release_decided and machine_id not in shard.unreconciled:
+            return False
+        scale_in.release_decided = True
+        conditions[SHARD_PREFIX + shard_id] = shard.fencing_token
+        return True
+
+    def _limit_to_value(self, machine_ids: list[str]) -> list[str]:
+        max_bytes = MAX_INTENT_VALUE_SHARE * self._access.context.record_format.value_bytes
+        while len(machine_ids) > 1 and len(msgspec.json.encode(machine_ids)) > max_bytes:
+            machine_ids = machine_ids[: len(machine_ids) // 2]
+        return machine_ids
--- a/fallpulley/duties/messages.py
+++ b/fallpulley/duties/messages.py
@@ -1,53 +1,61 @@
-"""Records of duties and of the actions that their holders intend."""
+"""The durable records of duties and of the actions that their owners intend."""
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 
 from fallpulley.fleet.messages import RentalRequest
 
 DUTY_PREFIX, INTENT_PREFIX = "live/duty/", "live/intent/"
 
-RENTING = "renting"  # machines are rented
-RETURNING = "returning"  # machines are returned to the cloud
-RECLAIMING = "reclaiming"  # machines that no record knows are adopted, or returned
-CLEANING = "cleaning"  # records that are of no use any more are dropped
-DUTIES = (RENTING, RETURNING, RECLAIMING, CLEANING)
+
+class Duty(StrEnum):
+    """What one controller at a time does for all of them; the values stand in the records."""
+
+    SCALE_OUT = "renting"  # machines are rented
+    RELEASE = "returning"  # machines are released to the cloud
+    ADOPTION = "reclaiming"  # machines that no record knows are adopted, or released
+    CLEANUP = "cleaning"  # records that are of no use any more are deleted
 
 
 class DutyRecord(msgspec.Struct, frozen=True, rename={"owner": "holder", "incarnation": "boot"}):
-    """`live/duty/<name>`, attached to its holder's lease: who does it. Its stamp is the token."""
+    """`live/duty/<duty>`, attached to its owner's lease. Its modification revision is the token."""
 
-    owner: str
+    owner: str  # controller_id
     incarnation: str
 
 
-class Rent(msgspec.Struct, frozen=True, tag="rent", rename={"shard_id": "block"}):
-    """Rent machines for a block, under a name that is never used for anything else."""
+class ScaleOut(msgspec.Struct, frozen=True, tag="rent", rename={"shard_id": "block"}):
+    """Rent machines for a shard, under a request id that is never used for anything else."""
 
     request: RentalRequest
     shard_id: str
 
 
-class Return(msgspec.Struct, frozen=True, tag="return", rename={"machine_ids": "hosts"}):
-    """Return machines to the cloud. From the moment at which this is durable nobody uses them."""
+class Release(msgspec.Struct, frozen=True, tag="return", rename={"machine_ids": "hosts"}):
+    """Release machines to the cloud. Once this is durable nobody places tasks on them."""
 
     machine_ids: list[str]
 
 
+Action = ScaleOut | Release
+
+
 class Intent(msgspec.Struct, frozen=True):
-    """`live/intent/<duty>/<token>-<number>`: an action, perhaps under way until it is dropped."""
+    """`live/intent/<duty>/<token>-<number>`: an action, perhaps under way until deleted."""
 
-    duty: str
+    duty: str  # text: the record of another version may name a duty that this one does not know
     token: int
-    action: Rent | Return
+    action: Action
 
 
-def duty_key(name: str) -> str:
-    """Where it is recorded who does a duty."""
-    return DUTY_PREFIX + name
+def duty_key(duty: str) -> str:
+    """The key of the record of who owns a duty."""
+    return DUTY_PREFIX + duty
 
 
 def intent_key(duty: str, token: int, number: int) -> str:
-    """A key of its own for each action."""
+    """A key of its own for each action; `number` counts within one process."""
     return f"{INTENT_PREFIX}{duty}/{token}-{number}"
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,14 +11,12 @@
 import pytest
 
 from fallpulley.duties.messages import (
-    DUTIES,
     DUTY_PREFIX,
     INTENT_PREFIX,
-    RENTING,
-    RETURNING,
+    Duty,
     Intent,
-    Rent,
-    Return,
+    Release,
+    ScaleOut,
     duty_key,
     intent_key,
 )
@@ -37,7 +35,7 @@
     enabled = world.operators["duties"]["enabled"] if world.operators else False
     world.until(lambda: bool(world.blocks()), 8.0)
     if enabled:
-        world.until(lambda: len(open_duties(world)) == len(DUTIES), 5.0)
+        world.until(lambda: len(open_duties(world)) == len(Duty), 5.0)
     world.until(lambda: "live/catalog" in world.state.data, 5.0)
     world.run(1.0)
     return world
@@ -64,9 +62,11 @@
         assert not action.in_use, action
         before = [intent.action for stamp, intent in recorded if stamp <= action.ledger]
         if action.name:
-            assert any(isinstance(a, Rent) and a.request.request_id == action.name for a in before)
+            assert any(
+                isinstance(a, ScaleOut) and a.request.request_id == action.name for a in before
+            )
         else:
-            assert any(isinstance(a, Return) and a.machine_ids == action.hosts for a in before), (
+            assert any(isinstance(a, Release) and a.machine_ids == action.hosts for a in before), (
                 action
             )
 
@@ -99,7 +99,7 @@
     world.until(lambda: not world.workers, 60.0)
     world.until(lambda: not open_intents(world), 5.0)
     check_actions(world)
-    holders = {world.state.data[duty_key(name)][0]["holder"] for name in DUTIES}
+    holders = {world.state.data[duty_key(name)][0]["holder"] for name in Duty}
     assert holders == {leader(world)}
 
 
@@ -162,14 +162,14 @@
     raise AssertionError("not accepted")
 
 
-@pytest.mark.parametrize("duty", [RENTING, RETURNING])
+@pytest.mark.parametrize("duty", [Duty.SCALE_OUT, Duty.RELEASE])
 @pytest.mark.parametrize("back", [False, True])
 def test_a_duty_moves_while_an_intent_is_open_and_the_successor_settles_it(
     duty: str, back: bool
 ) -> None:
     """The holder ends when its intent has just become durable and its call has not gone out."""
-    world = world_with(0 if duty == RENTING else 4, 6, idle_boots=1.0)
-    if duty == RENTING:
+    world = world_with(0 if duty == Duty.SCALE_OUT else 4, 6, idle_boots=1.0)
+    if duty == Duty.SCALE_OUT:
         submit(world, 1, pieces=8)
     world.until(lambda: any(duty in key for key in open_intents(world)), 60.0)
     (key,) = [key for key in open_intents(world) if duty in key][:1]
@@ -182,7 +182,7 @@
     world.until(lambda: key not in world.state.data, 30.0)
     done = world.actions[actions:]
     assert done and all(not action.sender.endswith(" boot-1") or old != "node-0" for action in done)
-    if isinstance(intent.action, Rent):
+    if isinstance(intent.action, ScaleOut):
         assert [a.name for a in world.actions].count(intent.action.request.request_id) == 1
     else:
         assert not set(intent.action.machine_ids) & world.workers.keys()
@@ -206,9 +206,9 @@
     assert not any(a.sender == f"{old} {boot}" for a in world.actions[before:])
     assert not open_intents(world) or all(
         msgspec.convert(world.state.data[key][0], Intent).token
-        == world.state.data[duty_key(RENTING)][1]
+        == world.state.data[duty_key(Duty.SCALE_OUT)][1]
         for key in open_intents(world)
-        if RENTING in key
+        if Duty.SCALE_OUT in key
     )
     check_actions(world)
 
@@ -217,9 +217,9 @@
     world = world_with(3, 3, idle_boots=50.0)
     host = sorted(world.workers)[0]
     label = leader(world)
-    token = world.state.data[duty_key(RETURNING)][1]
-    intent = Intent(RETURNING, token, Return([host]))
-    write = {"set": intent_key(RETURNING, token, 99), "v": msgspec.to_builtins(intent)}
+    token = world.state.data[duty_key(Duty.RELEASE)][1]
+    intent = Intent(Duty.RELEASE, token, Release([host]))
+    write = {"set": intent_key(Duty.RELEASE, token, 99), "v": msgspec.to_builtins(intent)}
     assert world.state.txn({"if": [], "then": [write]})[0] == 200
     world.until(lambda: host not in world.workers and not open_intents(world), 10.0)
     assert leader(world) == label
@@ -231,11 +231,11 @@
     old = leader(world)
     world.unanswered[old] = 9.0
     submit_without_answer(world, old)
-    world.until(lambda: bool(service(world, old)._intents_in_flight), 20.0)
+    world.until(lambda: service(world, old).intents.has_writes_in_flight, 20.0)
     world.run(0.3)
     world.crash(old)
     world.until(lambda: "live/leader" in world.state.data and leader(world) != old, 20.0)
-    world.until(lambda: len(open_duties(world)) == len(DUTIES), 10.0)
+    world.until(lambda: len(open_duties(world)) == len(Duty), 10.0)
     world.run(15.0)
     check_records(world)
 
@@ -255,7 +255,7 @@
     holder = world.holder()
     world.until(lambda: quiet in world.controllers[holder].parts.provider.release_requested, 20.0)
     world.unanswered[holder] = 8.0
-    world.until(lambda: bool(service(world, holder)._intents_in_flight), 5.0)
+    world.until(lambda: service(world, holder).intents.has_writes_in_flight, 5.0)
     world.step()
     world.unanswered.clear()
     (block,) = world.controllers[holder].parts.owned.shards
