--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -166,18 +166,7 @@
     if operators.shares.enabled:
         from fallpulley.shares.service import SharesService
 
-        parts.extensions.add(
-            SharesService(
-                parts.context,
-                parts.watch,
-                parts.registry,
-                parts.session,
-                parts.leadership,
-                parts.writer,
-                parts.jobs,
-                parts.owned,
-            )
-        )
+        parts.extensions.add(SharesService(access, parts.writer, parts.jobs))
     if operators.duties.enabled:
         from fallpulley.duties.service import DutiesService
 
--- a/fallpulley/settings.py
+++ b/fallpulley/settings.py
@@ -16,13 +16,15 @@
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
+# Conditions and changes in one transaction.
+TransactionOperations = Annotated[int, Meta(ge=4)]
 
 OPERATORS_FILE = "fallpulley.toml"
+_INSTALLATION = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 # The deployment's own defaults: built into the deployed copy, or under deploy/ in a checkout.
-_PROGRAM = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 DEPLOYED_FILES = (
-    os.path.join(_PROGRAM, OPERATORS_FILE),
-    os.path.join(_PROGRAM, "deploy", OPERATORS_FILE),
+    os.path.join(_INSTALLATION, OPERATORS_FILE),
+    os.path.join(_INSTALLATION, "deploy", OPERATORS_FILE),
 )
 
 # Of the machine's sockets: for users and workers, for other controllers and for calls to workers;
@@ -30,24 +32,34 @@
 # a connection to the controller that serves it, and only one controller may be left.
 SERVE_SHARE, MESH_SHARE, CALL_SHARE = 0.8, 0.04, 0.11
 
+# A cancellation has to leave at least this many lease times, or no time remains beyond a lease.
+MIN_CANCEL_LEASES = 1.2
+
 
 class SettingsError(Exception):
     """The settings cannot be used; the message names the field."""
 
 
+# -- the platform's file ---------------------------------------------------------------------
+
+
 class PeerSettings(msgspec.Struct, frozen=True, rename={"controller_id": "label"}):
+    """Another controller, and the `host:port` of its mesh address."""
+
     controller_id: Name
     site: Name
     address: Name
 
 
 class Endpoints(msgspec.Struct, frozen=True):
+    """The `host:port` of the platform's services."""
+
     cloud: Name
     state: Name
 
 
 class Team(msgspec.Struct, frozen=True):
-    """Guarantees and limits; a limit of 0 means none."""
+    """A team's guarantees and limits in processors and GPUs; a limit of 0 means none."""
 
     name: Name
     cpus: NotNegative = 0.0
@@ -57,10 +69,13 @@
 
     @property
     def limited(self) -> bool:
+        """The team may not use more than some number of processors or GPUs."""
         return self.cpus_max > 0 or self.gpus_max > 0
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
+    """What the service is measured by; jobs of a class are ordered by it. Times in seconds."""
+
     kind: str
     job_class: str = ""
     within_s: float | None = None
@@ -69,85 +84,102 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
-    report_s: Positive
-    lease_s: Positive
-    cancel_s: Positive
+    """The workers' protocol; all in seconds."""
+
+    report_s: Positive  # between two heartbeats
+    lease_s: Positive  # a worker without a response for so long stops its tasks
+    cancel_s: Positive  # a cancelled task has ended so long after the cancellation
 
 
 class FutureStateLimits(msgspec.Struct, frozen=True):
-    """What the state service will allow from some moment after an upgrade on, unannounced."""
+    """What the state service will allow from some moment after an upgrade on, unannounced.
+
+    Units are those of `StateLimits`; null: as now.
+    """
 
     rps: Positive | None = None
     write_rps: Positive | None = None
     value_kb: Positive | None = None
-    txn_ops: Annotated[int, Meta(ge=4)] | None = None
+    txn_ops: TransactionOperations | None = None
 
 
 class StateLimits(msgspec.Struct, frozen=True, rename={"future": "next"}):
-    rps: Positive
-    write_rps: Positive
-    value_kb: Positive
-    txn_ops: Annotated[int, Meta(ge=4)]
+    """What the state service allows all controllers together."""
+
+    rps: Positive  # requests a second
+    write_rps: Positive  # changes a second
+    value_kb: Positive  # KiB in one value
+    txn_ops: TransactionOperations  # conditions and changes in one transaction
     future: FutureStateLimits | None = None
 
     def strictest(self) -> StateLimits:
         """The lesser of what holds now and what is to come, each by itself."""
-        to_come = self.future
-        if to_come is None:
+        future = self.future
+        if future is None:
             return self
         return StateLimits(
-            min(self.rps, to_come.rps or self.rps),
-            min(self.write_rps, to_come.write_rps or self.write_rps),
-            min(self.value_kb, to_come.value_kb or self.value_kb),
-            min(self.txn_ops, to_come.txn_ops or self.txn_ops),
+            min(self.rps, future.rps or self.rps),
+            min(self.write_rps, future.write_rps or self.write_rps),
+            min(self.value_kb, future.value_kb or self.value_kb),
+            min(self.txn_ops, future.txn_ops or self.txn_ops),
         )
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    rps: Positive
-    list_lag_s: NotNegative
+    """What the cloud allows all controllers together."""
+
+    rps: Positive  # requests a second
+    list_lag_s: NotNegative  # its list of machines may be out of date by so much
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    core_share: Positive = 1.0
+    """What the machine that a controller runs on allows it."""
+
+    core_share: Positive = 1.0  # of one processor
     memory_mb: Positive = 256.0
     sockets: Annotated[int, Meta(ge=16)] = 1024
 
 
 class Facts(msgspec.Struct, frozen=True):
-    nodes: Annotated[int, Meta(ge=1)]
+    """What the platform says about the deployment."""
+
+    nodes: Annotated[int, Meta(ge=1)]  # controllers
     zones: list[Name]
     workers: Workers
     state: StateLimits
     cloud: CloudLimits
-    skew_ms: NotNegative = 0.0
+    skew_ms: NotNegative = 0.0  # between the clocks of two machines
     teams: list[Team] = []
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
 
 
+# -- the operators' file ---------------------------------------------------------------------
+
+
 class StandbySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[standby]`: followers keep a replica of each holder's decisions (docs/standby.md)."""
+    """`[standby]`: followers keep a replica of each owner's decisions (docs/standby.md)."""
 
     enabled: bool = False
-    # A holder sends what is new to its followers so often.
+    # An owner sends new decisions to its followers each time so many seconds have passed.
     batch_s: Annotated[float, Meta(ge=0.05, le=30)] = 0.5
-    # With a standby, a controller's session is no longer than this, whatever `session_share` says.
+    # With a standby, a controller's session is no longer than so many seconds, whatever
+    # `session_share` says.
     session_s: Annotated[float, Meta(ge=0.5, le=60)] = 2.5
 
 
 class SharesSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[shares]`: each controller's block has a share of the fleet (docs/shares.md)."""
+    """`[shares]`: each controller's shard has a share of the fleet (docs/shares.md)."""
 
     enabled: bool = False
     # An expression in CEL that gives weights; none: operators set them.
     policy: str = ""
-    # The policy is looked at so often.
+    # Seconds between two evaluations of the policy.
     policy_every_s: Annotated[float, Meta(ge=5, le=86_400)] = 30.0
 
 
 class DutiesSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[duties]`: renting, returning, reclaiming and cleaning up under tokens (docs/duties.md)."""
+    """`[duties]`: actions on machines have one owner each, by a token (docs/duties.md)."""
 
     enabled: bool = False
 
@@ -159,30 +191,40 @@
     session_share: Annotated[float, Meta(ge=0.1, le=1.0)] = 0.25
     # Queued and running work should drain within this many boot times of a machine.
     drain_boots: Annotated[float, Meta(gt=0, le=20)] = 1.3
-    # An idle machine goes back after this many boot times.
+    # An idle machine is released after this many boot times.
     idle_boots: Annotated[float, Meta(ge=0, le=50)] = 0.5
     # A job that waited this many times its own estimate sorts before all shorter ones.
     age_bound: Annotated[float, Meta(gt=0)] = 6.0
-    # When none of a job's tasks has run so long after its submission, the first ones go before
-    # all other work: users are to see even the largest begin well within four minutes.
+    # When none of a job's tasks has run so many seconds after its submission, the first ones go
+    # before all other work: users are to see even the largest begin well within four minutes.
     begin_bound_s: Annotated[float, Meta(gt=0)] = 90.0
-    # Machines never rented beyond this number (0: no bound of our own).
+    # No more than so many machines are rented at a time (0: no limit of the operators').
     machines_max: Annotated[int, Meta(ge=0)] = 0
     standby: StandbySettings = StandbySettings()
     shares: SharesSettings = SharesSettings()
     duties: DutiesSettings = DutiesSettings()
 
 
+# -- both files ------------------------------------------------------------------------------
+
+
 class Settings(msgspec.Struct, frozen=True, rename={"controller_id": "label", "peers": "seeds"}):
+    """All settings of one controller; addresses are `host:port`."""
+
     controller_id: Name
     site: Name
-    serve_on: Name
-    mesh_addr: Name
+    serve_on: Name  # users and workers reach the controller here
+    mesh_addr: Name  # other controllers and operators' commands reach it here
     endpoints: Endpoints
     facts: Facts
     peers: list[PeerSettings] = []
     operators: Operators = Operators()
 
+    @property
+    def controller_ids(self) -> list[str]:
+        """All controllers of the deployment, this one first."""
+        return [self.controller_id, *(peer.controller_id for peer in self.peers)]
+
 
 def split_address(address: str) -> tuple[str, int]:
     """`host:port` as its two parts; raises ValueError when it is neither."""
@@ -192,51 +234,27 @@
     return host, int(port)
 
 
-def _check(settings: Settings) -> None:
-    named = {
-        "serve_on": settings.serve_on,
-        "mesh_addr": settings.mesh_addr,
-        "endpoints.cloud": settings.endpoints.cloud,
-        "endpoints.state": settings.endpoints.state,
-    }
-    named |= {f"seeds[{i}].address": seed.address for i, seed in enumerate(settings.peers)}
-    for field, address in named.items():
-        try:
-            split_address(address)
-        except ValueError as error:
-            raise SettingsError(f"{field}: {error}") from None
-    labels = [settings.controller_id] + [seed.controller_id for seed in settings.peers]
-    for label in labels:
-        if "/" in label or any(c.isspace() for c in label):
-            raise SettingsError(f"label: {label!r} holds a slash or a space")
-    if len(set(labels)) != len(labels):
-        raise SettingsError("seeds: a label stands twice")
-    teams = [team.name for team in settings.facts.teams]
-    if len(set(teams)) != len(teams):
-        raise SettingsError("facts.teams: a name stands twice")
-    workers = settings.facts.workers
-    if workers.report_s >= workers.lease_s:
-        raise SettingsError("facts.workers.report_s: must be below facts.workers.lease_s")
-    if workers.lease_s * 1.2 >= workers.cancel_s:
-        raise SettingsError("facts.workers.cancel_s: leaves no time beyond facts.workers.lease_s")
-    _check_shares(settings)
-
-
-def _check_shares(settings: Settings) -> None:
-    """An expression is tried on ordinary values, and only then loaded."""
-    shares = settings.operators.shares
-    if not shares.enabled or not shares.policy:
-        return
-    from fallpulley.shares.policy import PolicyError, check_expression
+def load(path: str) -> Settings:
+    """Read and check the platform's file and the operators' ones, which may be absent.
 
-    labels = [settings.controller_id, *(seed.controller_id for seed in settings.peers)]
+    Raises `SettingsError`. What an optional part checks of its own settings is not included.
+    """
     try:
-        check_expression(shares.policy, labels)
-    except PolicyError as error:
-        raise SettingsError(f"{OPERATORS_FILE}: shares.policy: {error}") from None
+        table = _read_toml(path)
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from None
+    table["operators"] = _read_operators(path)
+    try:
+        settings = msgspec.convert(table, Settings)
+    except msgspec.ValidationError as error:
+        raise SettingsError(str(error)) from None
+    _check_addresses(settings)
+    _check_names(settings)
+    _check_workers(settings.facts.workers)
+    return settings
 
 
-def _read(path: str) -> dict[str, object]:
+def _read_toml(path: str) -> dict[str, object]:
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
@@ -244,41 +262,69 @@
         raise SettingsError(f"{path}: not TOML: {error}") from None
 
 
-def _operators(path: str) -> dict[str, object]:
+def _read_operators(platform_path: str) -> dict[str, object]:
     """The operators' settings: those of the deployed copy, overridden field by field by the file
     beside the platform's."""
-    own = os.path.join(os.path.dirname(os.path.abspath(path)), OPERATORS_FILE)
+    folder = os.path.dirname(os.path.abspath(platform_path))
+    deployed = next((path for path in DEPLOYED_FILES if os.path.exists(path)), None)
     merged: dict[str, object] = {}
-    deployed = next((file for file in DEPLOYED_FILES if os.path.exists(file)), None)
-    for file in (deployed, own):
-        if file is None or not os.path.exists(file):
-            continue
-        try:
-            table = _read(file)
-            msgspec.convert(table, Operators)
-        except msgspec.ValidationError as error:
-            raise SettingsError(f"{file}: {error}") from None
-        except OSError as error:
-            raise SettingsError(f"{file}: {error.strerror}") from None
-        for name, value in table.items():
-            below = merged.get(name)
-            if isinstance(value, dict) and isinstance(below, dict):
-                merged[name] = below | value
-            else:
-                merged[name] = value
+    for path in (deployed, os.path.join(folder, OPERATORS_FILE)):
+        if path is not None and os.path.exists(path):
+            _merge_table(merged, _read_operators_file(path))
     return merged
 
 
-def load(path: str) -> Settings:
-    """Read and check the platform's file and the operators' ones, which may be absent."""
+def _read_operators_file(path: str) -> dict[str, object]:
+    """One file, checked by itself so that an error names it."""
     try:
-        table = _read(path)
+        table = _read_toml(path)
+        msgspec.convert(table, Operators)
+    except msgspec.ValidationError as error:
+        raise SettingsError(f"{path}: {error}") from None
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
-    table["operators"] = _operators(path)
-    try:
-        settings = msgspec.convert(table, Settings)
-    except msgspec.ValidationError as error:
-        raise SettingsError(str(error)) from None
-    _check(settings)
-    return settings
+    return table
+
+
+def _merge_table(merged: dict[str, object], table: dict[str, object]) -> None:
+    """Override fields by those of `table`; within a table of fields too."""
+    for name, value in table.items():
+        overridden = merged.get(name)
+        if isinstance(value, dict) and isinstance(overridden, dict):
+            merged[name] = overridden | value
+        else:
+            merged[name] = value
+
+
+def _check_addresses(settings: Settings) -> None:
+    addresses = {
+        "serve_on": settings.serve_on,
+        "mesh_addr": settings.mesh_addr,
+        "endpoints.cloud": settings.endpoints.cloud,
+        "endpoints.state": settings.endpoints.state,
+    }
+    addresses |= {f"seeds[{i}].address": peer.address for i, peer in enumerate(settings.peers)}
+    for field, address in addresses.items():
+        try:
+            split_address(address)
+        except ValueError as error:
+            raise SettingsError(f"{field}: {error}") from None
+
+
+def _check_names(settings: Settings) -> None:
+    controller_ids = settings.controller_ids
+    for name in controller_ids:
+        if "/" in name or any(character.isspace() for character in name):
+            raise SettingsError(f"label: {name!r} holds a slash or a space")
+    if len(set(controller_ids)) != len(controller_ids):
+        raise SettingsError("seeds: a label stands twice")
+    teams = [team.name for team in settings.facts.teams]
+    if len(set(teams)) != len(teams):
+        raise SettingsError("facts.teams: a name stands twice")
+
+
+def _check_workers(workers: Workers) -> None:
+    if workers.report_s >= workers.lease_s:
+        raise SettingsError("facts.workers.report_s: must be below facts.workers.lease_s")
+    if workers.lease_s * MIN_CANCEL_LEASES >= workers.cancel_s:
+        raise SettingsError("facts.workers.cancel_s: leaves no time beyond facts.workers.lease_s")
--- a/fallpulley/shares/command.py
+++ b/fallpulley/shares/command.py
@@ -1,4 +1,4 @@
-"""`fallpulley shares show` and `fallpulley shares set`: asks controllers on the mesh address."""
+"""`fallpulley shares show` and `fallpulley shares set`: requests to controllers' mesh addresses."""
 
 from __future__ import annotations
 
@@ -6,18 +6,23 @@
 import sys
 import time
 import uuid
+from http import HTTPStatus
+from typing import NamedTuple
 
 import anyio
 import msgspec
 
-from fallpulley.exit_codes import CONFLICT, FAILED, OK, REFUSED, UNREACHABLE, USAGE
+from fallpulley.exit_codes import ExitCode
 from fallpulley.settings import split_address
 from fallpulley.shares.messages import ErrorResponse, SetShares, Share, SharesResponse
 from fallpulley.wire.client import Client
 
-TIMEOUT_S = 5.0
-POLL_S = 0.5
-SOCKETS = 4
+REQUEST_TIMEOUT_SECONDS = 5.0
+POLL_INTERVAL_SECONDS = 0.5
+MAX_SOCKETS = 4
+
+
+# -- what was typed ------------------------------------------------------------------------------
 
 
 class UsageError(Exception):
@@ -25,108 +30,149 @@
 
 
 def parse_share(text: str) -> tuple[str, Share]:
-    """`LABEL=WEIGHT[:FLOOR[:CEILING]]`."""
-    label, equals, numbers = text.partition("=")
+    """The controller and its share from `LABEL=WEIGHT[:FLOOR[:CEILING]]`; raises `UsageError`."""
+    controller_id, equals, numbers = text.partition("=")
     parts = numbers.split(":")
-    if not label or not equals or not 1 <= len(parts) <= 3:
+    if not controller_id or not equals or not 1 <= len(parts) <= 3:
         raise UsageError(f"{text!r}: expected LABEL=WEIGHT[:FLOOR[:CEILING]]")
     try:
         values = [float(part) for part in parts]
     except ValueError:
         raise UsageError(f"{text!r}: weight, floor and ceiling are numbers") from None
     weight, floor, ceiling = [*values, 0.0, 0.0][:3]
-    return label, Share(weight, floor, ceiling)
+    return controller_id, Share(weight, floor, ceiling)
 
 
 def parse_table(shares: list[str], teams: list[str]) -> dict[str, Share]:
-    """The whole table from what was typed."""
+    """The whole table from the texts of all shares and `TEAM=LABEL`; raises `UsageError`."""
     table = dict(parse_share(text) for text in shares)
     if len(table) < len(shares):
         raise UsageError("a controller stands twice")
     for text in teams:
-        name, equals, label = text.partition("=")
-        if not name or not equals or label not in table:
+        team, equals, controller_id = text.partition("=")
+        if not team or not equals or controller_id not in table:
             raise UsageError(f"{text!r}: expected TEAM=LABEL, with a LABEL that has a share")
-        share = table[label]
-        table[label] = msgspec.structs.replace(share, teams=[*share.teams, name])
+        share = table[controller_id]
+        table[controller_id] = msgspec.structs.replace(share, teams=[*share.teams, team])
     return table
 
 
-class Caller:
-    """Asks one controller after the other until one answers."""
+def _parse_request(options: argparse.Namespace) -> SetShares | None:
+    """The request of `shares set`; None for `shares show`. Raises `UsageError`, `ValueError`."""
+    for address in options.controller:
+        split_address(address)
+    if options.shares_command != "set":
+        return None
+    table = parse_table(options.shares, options.team)
+    operation = options.operation or uuid.uuid4().hex
+    return SetShares(table, operation, options.expect)
+
+
+# -- requests to controllers ---------------------------------------------------------------------
+
+
+class ControllerResponse(NamedTuple):
+    """What a controller responded."""
+
+    status: int
+    body: bytes
+
+
+class SharesClient:
+    """Sends each request to one controller after the other until one responds."""
 
     def __init__(self, client: Client, addresses: list[str]) -> None:
-        self.client = client
-        self.addresses = addresses
-
-    async def ask(self, method: str, body: bytes | None) -> tuple[int, bytes] | None:
-        """Status and body of the first answer that is not `out of reach`; None: there is none."""
-        last: tuple[int, bytes] | None = None
-        for address in self.addresses:
-            answer = await self._call(address, method, body)
-            if answer is not None and answer[0] != 503:
-                return answer
-            last = answer or last
+        self._client = client
+        self._addresses = addresses
+
+    async def get(self) -> ControllerResponse | None:
+        """The present shares; None: no controller responds."""
+        return await self._request("GET", None)
+
+    async def set(self, request: SetShares) -> ControllerResponse | None:
+        """Replace the table of shares; None: no controller responds."""
+        return await self._request("POST", msgspec.json.encode(request))
+
+    async def _request(self, method: str, body: bytes | None) -> ControllerResponse | None:
+        """The first response that is not `unavailable`, else the last one; None: there is none."""
+        last: ControllerResponse | None = None
+        for address in self._addresses:
+            response = await self._call(address, method, body)
+            if response is not None and response.status != HTTPStatus.SERVICE_UNAVAILABLE:
+                return response
+            last = response or last
         return last
 
     async def _call(
         self, address: str, method: str, body: bytes | None
-    ) -> tuple[int, bytes] | None:
-        done = anyio.Event()
-        found: list[tuple[int, bytes]] = []
+    ) -> ControllerResponse | None:
+        completed = anyio.Event()
+        response: ControllerResponse | None = None
 
-        def answered(status: int | None, answer: bytes) -> None:
+        def on_response(status: int | None, response_body: bytes) -> None:
+            nonlocal response
             if status is not None:
-                found.append((status, answer))
-            done.set()
+                response = ControllerResponse(status, response_body)
+            completed.set()
+
+        self._client.call(address, method, "/shares", body, REQUEST_TIMEOUT_SECONDS, on_response)
+        await completed.wait()
+        return response
 
-        self.client.call(address, method, "/shares", body, TIMEOUT_S, answered)
-        await done.wait()
-        return found[0] if found else None
 
+# -- what is printed -----------------------------------------------------------------------------
 
-def _complain(text: str) -> None:
+
+def _print_error(text: str) -> None:
     print(f"fallpulley: {text}", file=sys.stderr)
 
 
-def _failure(answer: tuple[int, bytes] | None) -> int:
-    """Say why there is no table, and how to go on."""
-    if answer is None:
-        _complain("no controller answers: check the addresses given with --controller")
-        return UNREACHABLE
-    status, body = answer
-    if status == 404:
-        _complain("shares are off: set `[shares] enabled = true` and restart the controllers")
-        return FAILED
+def _print_failure(response: ControllerResponse | None) -> ExitCode:
+    """Say why there are no shares to print, and how to go on."""
+    if response is None:
+        _print_error("no controller answers: check the addresses given with --controller")
+        return ExitCode.UNREACHABLE
+    if response.status == HTTPStatus.NOT_FOUND:
+        _print_error("shares are off: set `[shares] enabled = true` and restart the controllers")
+        return ExitCode.FAILED
     try:
-        error = msgspec.json.decode(body, type=ErrorResponse)
+        error = msgspec.json.decode(response.body, type=ErrorResponse)
     except msgspec.MsgspecError:
-        _complain(f"the controller answered {status}")
-        return FAILED
-    if status == 409:
-        _complain(f"conflict: {error.reason}; look again and repeat with --expect {error.revision}")
-        return CONFLICT
-    if status in (400, 422):
-        _complain(f"refused: {error.reason}")
-        return REFUSED
-    _complain(f"{error.reason}; try again")
-    return UNREACHABLE
-
-
-def print_answer(answer: SharesResponse, as_json: bool) -> None:
-    """The shares and the blocks, as tables or as JSON."""
+        _print_error(f"the controller answered {response.status}")
+        return ExitCode.FAILED
+    if response.status == HTTPStatus.CONFLICT:
+        advice = f"look again and repeat with --expect {error.revision}"
+        _print_error(f"conflict: {error.reason}; {advice}")
+        return ExitCode.CONFLICT
+    if response.status in (HTTPStatus.BAD_REQUEST, HTTPStatus.UNPROCESSABLE_ENTITY):
+        _print_error(f"refused: {error.reason}")
+        return ExitCode.REFUSED
+    _print_error(f"{error.reason}; try again")
+    return ExitCode.UNREACHABLE
+
+
+def print_shares(response: SharesResponse, as_json: bool) -> None:
+    """The shares and the shards, as tables or as JSON."""
     if as_json:
-        print(msgspec.json.encode(answer).decode())
+        print(msgspec.json.encode(response).decode())
         return
-    age = f"{answer.age_s:.1f} s"
-    print(f"revision {answer.revision} by {answer.controller_id}, records of {age} ago")
+    age = f"{response.age_s:.1f} s"
+    print(f"revision {response.revision} by {response.controller_id}, records of {age} ago")
+    _print_table_of_shares(response)
+    _print_table_of_shards(response)
+
+
+def _print_table_of_shares(response: SharesResponse) -> None:
     print(f"{'controller':<24} {'weight':>7} {'floor':>7} {'ceiling':>7}  teams")
-    for label, share in answer.shares.items():
+    for controller_id, share in response.shares.items():
         ceiling = f"{share.ceiling:g}" if share.ceiling else "-"
         teams = ", ".join(share.teams) or "-"
-        print(f"{label:<24} {share.weight:>7g} {share.floor:>7g} {ceiling:>7}  {teams}")
+        print(f"{controller_id:<24} {share.weight:>7g} {share.floor:>7g} {ceiling:>7}  {teams}")
+
+
+def _print_table_of_shards(response: SharesResponse) -> None:
     print(f"{'block':<24} {'holder':<24} {'target':>7} {'has':>7} {'machines':>8}  state")
-    for shard in answer.shards:
+    for shard in response.shards:
         draining = f", {shard.draining} draining" if shard.draining else ""
         target = "-" if shard.target is None else f"{shard.target:g}"
         print(
@@ -135,51 +181,47 @@
         )
 
 
-async def _run(options: argparse.Namespace, request: SetShares | None) -> int:
+# -- the command ---------------------------------------------------------------------------------
+
+
+async def _run(options: argparse.Namespace, request: SetShares | None) -> ExitCode:
     async with anyio.create_task_group() as tasks:
-        caller = Caller(Client(tasks, SOCKETS, options.controller), options.controller)
-        if request is None:
-            answer = await caller.ask("GET", None)
-        else:
-            answer = await caller.ask("POST", msgspec.json.encode(request))
-        if answer is None or answer[0] != 200:
+        client = SharesClient(Client(tasks, MAX_SOCKETS, options.controller), options.controller)
+        response = await (client.get() if request is None else client.set(request))
+        if response is None or response.status != HTTPStatus.OK:
             tasks.cancel_scope.cancel()
-            return _failure(answer)
-        shown = msgspec.json.decode(answer[1], type=SharesResponse)
-        shown, code = await _wait(caller, shown, getattr(options, "wait", 0.0))
-        print_answer(shown, options.json)
+            return _print_failure(response)
+        shares = msgspec.json.decode(response.body, type=SharesResponse)
+        wait_s = getattr(options, "wait", 0.0)
+        if wait_s > 0:
+            shares = await _wait_until_converged(client, shares, wait_s)
+        timed_out = wait_s > 0 and not shares.converged
+        if timed_out:
+            states = ", ".join(f"{shard.shard_id}: {shard.state}" for shard in shares.shards)
+            _print_error(f"not there after {wait_s:g} s ({states})")
+        print_shares(shares, options.json)
         tasks.cancel_scope.cancel()
-    return code
+    return ExitCode.FAILED if timed_out else ExitCode.OK
 
 
-async def _wait(caller: Caller, shown: SharesResponse, wait_s: float) -> tuple[SharesResponse, int]:
-    """Look again until the blocks match their shares, for so long."""
-    if wait_s <= 0:
-        return shown, OK
+async def _wait_until_converged(
+    client: SharesClient, shares: SharesResponse, wait_s: float
+) -> SharesResponse:
+    """Poll until the shards match their shares, for `wait_s` seconds; the last response."""
     until = time.monotonic() + wait_s
-    while not shown.converged and time.monotonic() < until:
-        await anyio.sleep(POLL_S)
-        answer = await caller.ask("GET", None)
-        if answer is not None and answer[0] == 200:
-            shown = msgspec.json.decode(answer[1], type=SharesResponse)
-    if shown.converged:
-        return shown, OK
-    states = ", ".join(f"{shard.shard_id}: {shard.state}" for shard in shown.shards)
-    _complain(f"not there after {wait_s:g} s ({states})")
-    return shown, FAILED
-
-
-def run(options: argparse.Namespace) -> int:
-    """Carry out the command; the exit code."""
+    while not shares.converged and time.monotonic() < until:
+        await anyio.sleep(POLL_INTERVAL_SECONDS)
+        response = await client.get()
+        if response is not None and response.status == HTTPStatus.OK:
+            shares = msgspec.json.decode(response.body, type=SharesResponse)
+    return shares
+
+
+def run(options: argparse.Namespace) -> ExitCode:
+    """Carry out the command."""
     try:
-        for address in options.controller:
-            split_address(address)
-        request = None
-        if options.shares_command == "set":
-            table = parse_table(options.shares, options.team)
-            operation = options.operation or uuid.uuid4().hex
-            request = SetShares(table, operation, options.expect)
+        request = _parse_request(options)
     except (UsageError, ValueError) as error:
-        _complain(str(error))
-        return USAGE
+        _print_error(str(error))
+        return ExitCode.USAGE
     return anyio.run(_run, options, request, backend="asyncio")
--- a/fallpulley/shares/messages.py
+++ b/fallpulley/shares/messages.py
@@ -2,29 +2,30 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
-# As many operations are remembered, so that one whose answer was lost gets it when repeated.
-OPERATIONS_KEPT = 8
+# As many operations are remembered, so that one whose response was lost gets it when repeated.
+MAX_REMEMBERED_OPERATIONS = 8
 
-Label = Annotated[str, Meta(min_length=1, max_length=100)]
+Name = Annotated[str, Meta(min_length=1, max_length=100)]
 OperationName = Annotated[str, Meta(min_length=1, max_length=64)]
 
 
 class Share(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """What one controller's block is to have of the fleet, in processors."""
+    """What one controller's shard is to have of the fleet; floor and ceiling in processors."""
 
     weight: float
     floor: float = 0.0
     ceiling: float = 0.0  # 0: none
-    teams: list[Label] = []  # whose new jobs go to this block
+    teams: list[Name] = []  # whose new jobs go to this shard
 
 
 class Operation(msgspec.Struct, frozen=True, array_like=True):
-    """A change that was carried out, and the revision that it made."""
+    """A change that was carried out, and the revision of the table that it made."""
 
     name: str
     revision: int
@@ -39,29 +40,39 @@
 
 
 class SetShares(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`POST /shares`: the whole table, to take the place of the present one."""
+    """`POST /shares`: the whole table, to replace the present one."""
 
-    shares: dict[Label, Share]
+    shares: dict[Name, Share]
     operation: OperationName
     expect: int | None = None  # the revision that it was decided on; null: whatever there is
 
 
+class ShardProgress(StrEnum):
+    """How far a shard is on its way to its share; the values are shown to operators."""
+
+    CONVERGED = "converged"
+    MOVING = "moving"
+    WAITING_FOR_TASKS = "waiting for tasks"
+    CONTROLLER_ABSENT = "controller absent"
+    UNRECONCILED = "doubt after takeover"
+
+
 class ShardState(msgspec.Struct, frozen=True, rename={"shard_id": "block", "owner": "holder"}):
-    """How far a block is from its share."""
+    """How far a shard is from its share."""
 
     shard_id: str
     owner: str
     target: float | None  # processors; null: no shares are set, any number will do
     processors: float
     machines: int
-    state: str
-    draining: int | None = None  # machines that take nothing new; null: not known here
+    state: str  # a ShardProgress; text, since a controller of another version may have more
+    draining: int | None = None  # machines that get no new tasks; null: not known here
 
 
 class SharesResponse(
     msgspec.Struct, frozen=True, rename={"controller_id": "controller", "shards": "blocks"}
 ):
-    """The shares and the blocks, as the controller that answers sees them."""
+    """The shares and the shards, as the controller that responds knows them."""
 
     controller_id: str
     revision: int
@@ -77,10 +88,3 @@
     error: str
     reason: str
     revision: int | None = None
-
-
-CONVERGED = "converged"
-MOVING = "moving"
-WAITING_FOR_TASKS = "waiting for tasks"
-CONTROLLER_ABSENT = "controller absent"
-UNRECONCILED = "doubt after takeover"
--- a/fallpulley/shares/policy.py
+++ b/fallpulley/shares/policy.py
@@ -1,4 +1,4 @@
-"""An operators' expression that gives weights: CEL over load, backlog and the hour of the day.
+"""The operators' expression that gives weights: CEL over load, backlog and the hour of the day.
 
 The library is loaded only where an expression is set. An expression can't loop, its length and its
 macros are bounded, and one that takes too long or fails is not used again by this process.
@@ -10,25 +10,29 @@
 import math
 import time
 from collections.abc import Callable, Mapping
-from typing import Any
 
 import msgspec
 
 from fallpulley.jobs.messages import Priority
-from fallpulley.settings import SharesSettings
+from fallpulley.settings import OPERATORS_FILE, Settings, SettingsError, SharesSettings
 from fallpulley.shares.messages import Share, ShareTable
 
 log = logging.getLogger(__name__)
 
 MAX_EXPRESSION_LENGTH = 2000  # characters
 MACROS = (".map(", ".filter(", ".all(", ".exists(", ".exists_one(")
-MAX_MACROS = 4  # nested, each would multiply the time by the number of blocks
+MAX_MACROS = 4  # nested, each would multiply the time by the number of shards
 # An evaluation that takes longer ends the policy: it would hold up the controller.
-EVALUATION_S = 0.05
-# Parts of the fleet, by weights, that differ by less are left as they are.
-HYSTERESIS = 0.1
+MAX_EVALUATION_SECONDS = 0.05
+# Weights are changed where some controller's part of their sum changes by at least this.
+MIN_PART_CHANGE = 0.1
+# Characters of a wrong value that an error message quotes.
+MAX_QUOTED_LENGTH = 80
+# Work that an expression is tried on before it is used: none, and plenty of it.
+TRIAL_WORK_SECONDS = (0.0, 1000.0)
+TRIAL_HOUR = 12.0
 
-Weights = dict[str, float]
+Weights = dict[str, float]  # by controller_id
 
 
 class PolicyError(Exception):
@@ -36,17 +40,17 @@
 
 
 class PolicyInput(msgspec.Struct, frozen=True):
-    """What an expression sees."""
+    """The variables of an expression."""
 
-    load: dict[str, float]  # block -> unfinished work for each of its processors, in seconds
-    backlog: dict[str, dict[Priority, float]]  # block -> priority -> unfinished processor-seconds
+    load: dict[str, float]  # shard -> unfinished work for each of its processors, in seconds
+    backlog: dict[str, dict[Priority, float]]  # shard -> priority -> unfinished processor-seconds
     hour: float  # of the day, UTC
 
 
 Evaluate = Callable[[PolicyInput], Weights]
 
 
-def compiled(expression: str) -> Evaluate:
+def compile_expression(expression: str) -> Evaluate:
     """The expression as a function; raises `PolicyError` when it can't be one."""
     if len(expression) > MAX_EXPRESSION_LENGTH:
         raise PolicyError(f"longer than {MAX_EXPRESSION_LENGTH} characters")
@@ -59,11 +63,11 @@
         environment = celpy.Environment()
         program = environment.program(environment.compile(expression))
     except Exception as error:  # the library's own errors have no common class
-        raise PolicyError(str(error).partition("\n")[0]) from None
+        raise PolicyError(_first_line(error)) from None
 
     def evaluate(values: PolicyInput) -> Weights:
         try:
-            found = program.evaluate(
+            result = program.evaluate(
                 {
                     "load": json_to_cel(values.load),
                     "backlog": json_to_cel(values.backlog),
@@ -71,94 +75,118 @@
                 }
             )
         except Exception as error:
-            raise PolicyError(str(error).partition("\n")[0]) from None
-        return _weights(found)
+            raise PolicyError(_first_line(error)) from None
+        return _checked_weights(result)
 
     return evaluate
 
 
-def _weights(found: Any) -> Weights:
-    if not isinstance(found, Mapping) or not found:
+def _first_line(error: Exception) -> str:
+    return str(error).partition("\n")[0]
+
+
+def _checked_weights(result: object) -> Weights:
+    if not isinstance(result, Mapping) or not result:
         raise PolicyError("gives no map of weights")
     weights: Weights = {}
-    for label, value in found.items():
+    for controller_id, value in result.items():
         # The library's own boolean is a kind of integer, and errors within a map are values.
         is_number = isinstance(value, int | float) and type(value).__name__ != "BoolType"
         if not is_number:
-            raise PolicyError(f"weight of {label} is no number but {str(value)[:80]}")
+            quoted = str(value)[:MAX_QUOTED_LENGTH]
+            raise PolicyError(f"weight of {controller_id} is no number but {quoted}")
         weight = float(value)
         if not math.isfinite(weight) or weight < 0:
-            raise PolicyError(f"weight of {label} is {weight:g}")
-        weights[str(label)] = weight
+            raise PolicyError(f"weight of {controller_id} is {weight:g}")
+        weights[str(controller_id)] = weight
     if sum(weights.values()) <= 0:
         raise PolicyError("gives no weight above 0")
     return weights
 
 
-def check_expression(expression: str, labels: list[str]) -> None:
+def check_expression(expression: str, controller_ids: list[str]) -> None:
     """Raise `PolicyError` for an expression that fails on ordinary values."""
-    evaluate = compiled(expression)
-    for work in (0.0, 1000.0):
-        backlog = {label: dict.fromkeys(Priority, work) for label in labels}
-        weights = evaluate(PolicyInput(dict.fromkeys(labels, work), backlog, 12.0))
-        unknown = sorted(weights.keys() - set(labels))
+    evaluate = compile_expression(expression)
+    for work in TRIAL_WORK_SECONDS:
+        load = dict.fromkeys(controller_ids, work)
+        backlog = {name: dict.fromkeys(Priority, work) for name in controller_ids}
+        weights = evaluate(PolicyInput(load, backlog, TRIAL_HOUR))
+        unknown = sorted(weights.keys() - set(controller_ids))
         if unknown:
             raise PolicyError(f"names no controller: {', '.join(unknown)}")
 
 
+def check_settings(settings: Settings) -> None:
+    """Raise `SettingsError` when shares are enabled with a policy that can't be used."""
+    shares = settings.operators.shares
+    if not shares.enabled or not shares.policy:
+        return
+    try:
+        check_expression(shares.policy, settings.controller_ids)
+    except PolicyError as error:
+        raise SettingsError(f"{OPERATORS_FILE}: shares.policy: {error}") from None
+
+
 class Policy:
-    """Evaluates the expression now and then, and says when shares are to change."""
+    """Evaluates the expression at intervals, and says when the shares are to change."""
 
     def __init__(
         self, settings: SharesSettings, clock: Callable[[], float] = time.perf_counter
     ) -> None:
-        self.settings = settings
-        self.clock = clock
+        """`clock` measures how long an evaluation takes, in seconds."""
+        self._settings = settings
+        self._clock = clock
         self._evaluate: Evaluate | None = None
         self._ended = not settings.policy
-        self._next_at = float("-inf")
+        self._next_at = float("-inf")  # by the steady clock
 
-    def wished(
-        self, now: float, table: ShareTable, values: Callable[[], PolicyInput]
+    def wanted_shares(
+        self, now: float, table: ShareTable, policy_input: Callable[[], PolicyInput]
     ) -> dict[str, Share] | None:
-        """The shares that the policy wants now; None: no change."""
+        """The shares that the policy wants now; None: no change.
+
+        `policy_input` is called only when the expression is evaluated.
+        """
         if self._ended or now < self._next_at:
             return None
-        self._next_at = now + self.settings.policy_every_s
+        self._next_at = now + self._settings.policy_every_s
         try:
-            weights = self._weights(values())
+            weights = self._weights(policy_input())
         except PolicyError as error:
-            log.info("share policy failed and is not used again why=%s", error)
+            log.info("share policy ended reason=%s", error)
             self._ended = True
             return None
-        return _changed(table, weights)
+        return _with_weights(table, weights)
 
-    def _weights(self, values: PolicyInput) -> Weights:
+    def _weights(self, policy_input: PolicyInput) -> Weights:
         if self._evaluate is None:
-            self._evaluate = compiled(self.settings.policy)
-        began = self.clock()
-        weights = self._evaluate(values)
-        took_s = self.clock() - began
-        if took_s > EVALUATION_S:
-            raise PolicyError(f"took {took_s:.3f} s of {EVALUATION_S} s")
+            self._evaluate = compile_expression(self._settings.policy)
+        began_at = self._clock()
+        weights = self._evaluate(policy_input)
+        took_s = self._clock() - began_at
+        if took_s > MAX_EVALUATION_SECONDS:
+            raise PolicyError(f"took {took_s:.3f} s of {MAX_EVALUATION_SECONDS} s")
         return weights
 
 
-def _changed(table: ShareTable, weights: Weights) -> dict[str, Share] | None:
-    """The table's shares with new weights, where some part differs enough."""
-    old = {label: share.weight for label, share in table.shares.items()}
-    parts, wanted = _parts(old), _parts(weights)
-    labels = old.keys() | weights.keys()
-    if all(abs(parts.get(n, 0.0) - wanted.get(n, 0.0)) < HYSTERESIS for n in labels):
+def _with_weights(table: ShareTable, weights: Weights) -> dict[str, Share] | None:
+    """The table's shares with new weights; None where no part of their sum differs enough."""
+    old_weights = {name: share.weight for name, share in table.shares.items()}
+    old_parts, new_parts = _parts_of_sum(old_weights), _parts_of_sum(weights)
+    controller_ids = old_weights.keys() | weights.keys()
+    if all(
+        abs(old_parts.get(name, 0.0) - new_parts.get(name, 0.0)) < MIN_PART_CHANGE
+        for name in controller_ids
+    ):
         return None
     return {
-        label: msgspec.structs.replace(
-            table.shares.get(label, Share(0.0)), weight=weights.get(label, 0.0)
+        name: msgspec.structs.replace(
+            table.shares.get(name, Share(0.0)), weight=weights.get(name, 0.0)
         )
-        for label in sorted(labels)
+        for name in sorted(controller_ids)
     }
 
 
-def _parts(weights: Mapping[str, float]) -> Weights:
+def _parts_of_sum(weights: Weights) -> Weights:
     total = sum(weights.values())
-    return {label: weight / total for label, weight in weights.items()} if total > 0 else {}
+    return {name: weight / total for name, weight in weights.items()} if total > 0 else {}
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -1,13 +1,14 @@
-"""Brings a held block down to its share: idle machines leave at once, busy ones as they empty.
+"""Brings an owned shard down to its share: idle machines leave at once, busy ones as they empty.
 
-Targets follow from records alone, so every holder reckons the same ones; nobody has to be told.
-A holder gives machines of its own block only, in the one transaction that changes both records on
-the stamps they were decided on. No task is stopped.
+Targets follow from records alone, so every owner computes the same ones and none has to be sent
+them. An owner gives machines of its own shard only, in the one transaction that changes both
+records, conditioned on the revisions they were decided on. No task is stopped.
 """
 
 from __future__ import annotations
 
 import logging
+from typing import NamedTuple
 
 import msgspec
 
@@ -16,126 +17,136 @@
 from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.shard import Shard
 from fallpulley.shares.messages import ShareTable
-from fallpulley.shares.table import Move, moves, targets
+from fallpulley.shares.targets import Move, plan_moves, target_processors
 from fallpulley.state.client import TokenBucket
 from fallpulley.workers.machine import Machine
 
 log = logging.getLogger(__name__)
 
-# Of a controller's budget of changes, what moves of machines may take; each changes two records.
-MOVE_SHARE, MOVE_CHANGES = 0.1, 2
+# Of a controller's budget of changes, what moves of machines may use.
+MOVE_BUDGET_SHARE = 0.1
+# Each move changes two records.
+CHANGES_PER_MOVE = 2
 
 
 class Targets(msgspec.Struct, frozen=True):
-    """What blocks have and are to have, in processors."""
+    """What shards have and are to have, in processors."""
 
     actual: dict[str, float]
     wanted: dict[str, float]
 
+    def moves(self) -> list[Move]:
+        """What each shard above its target gives to which other."""
+        return plan_moves(self.actual, self.wanted)
+
+
+class DrainCost(NamedTuple):
+    """How much it disturbs to take a machine out of a shard; the least comes first."""
+
+    busy: bool
+    not_yet_draining: bool
+    running_cpus: float
+
 
 class Reconciler:
-    """Marks and moves the machines of held blocks."""
+    """Drains and moves the machines of owned shards."""
 
     def __init__(self, context: ControllerContext, registry: Registry, writer: ShardWriter) -> None:
-        self.context = context
-        self.registry = registry
-        self.writer = writer
+        self._context = context
+        self._registry = registry
+        self._writer = writer
         facts = context.settings.facts
-        rate = facts.state.write_rps / max(1, facts.nodes) * MOVE_SHARE / MOVE_CHANGES
+        rate = facts.state.write_rps / max(1, facts.nodes) * MOVE_BUDGET_SHARE / CHANGES_PER_MOVE
         self._bucket = TokenBucket(rate)
 
-    def targets(self, table: ShareTable, busy: set[str]) -> Targets:
-        """`busy`: blocks with unfinished jobs, which keep a machine whatever their share."""
-        actual = {label: self.processors(label) for label in self.registry.shards}
+    def targets(self, table: ShareTable, busy_shards: set[str]) -> Targets:
+        """`busy_shards`, with unfinished jobs, keep a machine whatever their share."""
+        registry = self._registry
+        actual = {shard_id: registry.processors(shard_id) for shard_id in registry.shards}
         fleet = sum(actual.values())
-        shares = {label: share for label, share in table.shares.items() if label in actual}
-        wanted = dict.fromkeys(actual, 0.0) | targets(shares, fleet)
-        return Targets(actual, self._with_least(wanted, busy, fleet))
-
-    def _with_least(
-        self, wanted: dict[str, float], busy: set[str], fleet: float
-    ) -> dict[str, float]:
-        """A job lives in its block until it is done: without a machine there it never would be."""
-        least = max((kind.cpus for kind in self.registry.machine_types.values()), default=0.0)
-        short = {label for label in busy if label in wanted and wanted[label] < least}
-        for label in sorted(short):
-            richest = max(wanted, key=lambda name: wanted[name])
-            missing = min(least - wanted[label], max(0.0, wanted[richest] - least))
-            wanted[label] += missing
-            wanted[richest] -= missing
+        shares = {name: share for name, share in table.shares.items() if name in actual}
+        wanted = dict.fromkeys(actual, 0.0) | target_processors(shares, fleet)
+        return Targets(actual, self._with_minimum(wanted, busy_shards))
+
+    def _with_minimum(self, wanted: dict[str, float], busy_shards: set[str]) -> dict[str, float]:
+        """A job stays in its shard until it is done: without a machine there it never would be."""
+        machine_types = self._registry.machine_types.values()
+        minimum = max((machine_type.cpus for machine_type in machine_types), default=0.0)
+        below = {name for name in busy_shards if name in wanted and wanted[name] < minimum}
+        for shard_id in sorted(below):
+            largest = max(wanted, key=lambda name: wanted[name])
+            missing = min(minimum - wanted[shard_id], max(0.0, wanted[largest] - minimum))
+            wanted[shard_id] += missing
+            wanted[largest] -= missing
         return wanted
 
-    def processors(self, label: str) -> float:
-        """Of all machines in a block's record."""
-        return self.registry.processors(label)
-
-    def unmet(self, found: Targets) -> list[Move]:
-        """Moves that some machine of their giver would serve."""
+    def feasible_moves(self, targets: Targets) -> list[Move]:
+        """Moves that some machine of their source would serve."""
         return [
             move
-            for move in moves(found.actual, found.wanted)
-            if any(move.improves(cpus) for cpus in self._sizes(move.giver))
+            for move in targets.moves()
+            if any(move.improves(cpus) for cpus in self._machine_sizes(move.source))
         ]
 
-    def _sizes(self, label: str) -> set[float]:
-        record, _ = self.registry.shards[label]
-        types = self.registry.machine_types
+    def _machine_sizes(self, shard_id: str) -> set[float]:
+        record, _ = self._registry.shards[shard_id]
+        types = self._registry.machine_types
         return {
-            types[m.machine_type].cpus for m in record.machines.values() if m.machine_type in types
+            types[entry.machine_type].cpus
+            for entry in record.machines.values()
+            if entry.machine_type in types
         }
 
-    # -- a held block ----------------------------------------------------------------------
+    # -- one owned shard -------------------------------------------------------------------
 
-    def reconcile(self, shard: Shard, found: Targets) -> None:
-        """Mark what is to leave, and let go of what has become empty."""
-        own = [move for move in moves(found.actual, found.wanted) if move.giver == shard.shard_id]
-        leaving = self._choose(shard, own)
+    def reconcile(self, shard: Shard, targets: Targets) -> None:
+        """Drain the machines that are to leave, and move those that are empty."""
+        moves = [move for move in targets.moves() if move.source == shard.shard_id]
+        leaving = self._choose_leaving(shard, moves)
         for machine_id, machine in shard.machines.items():
             self._set_draining(shard, machine, machine_id in leaving)
-        self._bucket.refill(self.context.now)
-        if leaving and self._bucket.tokens >= 1 and not self.writer.moving.get(shard.shard_id):
+        self._bucket.refill(self._context.now)
+        if leaving and self._bucket.tokens >= 1 and not self._writer.moving.get(shard.shard_id):
             self._move_empty(shard, leaving)
 
     def _cpus(self, machine: Machine) -> float:
-        kind = self.registry.machine_types.get(machine.entry.machine_type)
-        return kind.cpus if kind is not None else 0.0
-
-    def _choose(self, shard: Shard, own: list[Move]) -> dict[str, str]:
-        """Machines to leave and the blocks that get them, those first whose leaving disturbs
-        least: idle, marked already, then with the least running."""
-
-        def disturbed(machine: Machine) -> tuple[bool, bool, float]:
-            running = sum(run.resources.cpus for run in machine.runs.values())
-            return (not machine.empty, not machine.scale_in.draining, running)
+        machine_type = self._registry.machine_types.get(machine.entry.machine_type)
+        return machine_type.cpus if machine_type is not None else 0.0
 
+    def _choose_leaving(self, shard: Shard, moves: list[Move]) -> dict[str, str]:
+        """Machines to leave -> the shards that get them; those that it disturbs least come first:
+        idle, draining already, then with the least running."""
         chosen: dict[str, str] = {}
-        left = list(own)
-        for machine in sorted(shard.machines.values(), key=disturbed):
+        remaining = list(moves)
+        for machine in sorted(shard.machines.values(), key=_drain_cost):
             cpus = self._cpus(machine)
             if cpus <= 0 or machine.scale_in.leaving_shard or not machine.usable:
                 continue
-            move = max(left, key=lambda m: m.lacking, default=None)
+            move = max(remaining, key=lambda move: move.deficit, default=None)
             if move is None or not move.improves(cpus):
                 continue
-            chosen[machine.machine_id] = move.taker
-            left = [_after(other, move.taker, cpus) for other in left]
+            chosen[machine.machine_id] = move.destination
+            remaining = [_reduced(other, move.destination, cpus) for other in remaining]
         return chosen
 
-    def _set_draining(self, shard: Shard, machine: Machine, leaves: bool) -> None:
-        if machine.scale_in.draining == leaves:
+    def _set_draining(self, shard: Shard, machine: Machine, draining: bool) -> None:
+        if machine.scale_in.draining == draining:
             return
-        machine.scale_in.draining = leaves
+        machine.scale_in.draining = draining
         machine.snapshot = None
         shard.needs_replan = True
-        if leaves:
+        if draining:
             shard.bookings.pop(machine.machine_id, None)
         log.debug(
-            "machine draining=%s machine=%s block=%s", leaves, machine.machine_id, shard.shard_id
+            "machine draining changed machine=%s shard=%s draining=%s",
+            machine.machine_id,
+            shard.shard_id,
+            draining,
         )
 
     def _move_empty(self, shard: Shard, leaving: dict[str, str]) -> None:
         moved = 0
-        for machine_id, taker in leaving.items():
+        for machine_id, destination in leaving.items():
             machine = shard.machines[machine_id]
             if not machine.empty:
                 continue
@@ -143,19 +154,24 @@
             shard.occupancy_due[machine_id] = None
             shard.bookings.pop(machine_id, None)
             shard.needs_replan = True
-            self.writer.move(shard.shard_id, machine_id, taker)
+            self._writer.move(shard.shard_id, machine_id, destination)
             moved += 1
         if moved:
             self._bucket.tokens -= 1
-            log.info("machines moved by shares n=%d from=%s", moved, shard.shard_id)
+            log.info("machines moved for shares shard=%s count=%d", shard.shard_id, moved)
+
+
+def _drain_cost(machine: Machine) -> DrainCost:
+    running = sum(run.resources.cpus for run in machine.runs.values())
+    return DrainCost(not machine.empty, not machine.scale_in.draining, running)
 
 
-def _after(move: Move, taker: str, cpus: float) -> Move:
-    """What is left of a giver's move after a machine has gone to a taker."""
+def _reduced(move: Move, destination: str, cpus: float) -> Move:
+    """What is left of a source's move after a machine has gone to `destination`."""
     return Move(
-        move.giver,
-        move.taker,
+        move.source,
+        move.destination,
         move.processors,
         move.surplus - cpus,
-        move.lacking - (cpus if move.taker == taker else 0.0),
+        move.deficit - (cpus if move.destination == destination else 0.0),
     )
--- /dev/null
+++ b/fallpulley/shares/requests.py
@@ -0,0 +1,145 @@
+"""Operators' requests: `GET /shares` and `POST /shares` on the mesh address."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from http import HTTPStatus
+
+import msgspec
+
+from fallpulley.controller_access import ControllerAccess
+from fallpulley.effects import OperatorRequest
+from fallpulley.shares.messages import ErrorResponse, SetShares, SharesResponse, ShareTable
+from fallpulley.shares.record import ShareRecord
+from fallpulley.shares.table import (
+    ConflictError,
+    RefusedError,
+    apply_request,
+    revision_of_operation,
+)
+from fallpulley.state.client import RequestPriority, WriteResult
+
+RETRY_AFTER_SECONDS = 1.0
+
+
+class ShareRequests:
+    """Responds to each request once the watch cache is known to be current, or known not to be."""
+
+    def __init__(
+        self,
+        access: ControllerAccess,
+        record: ShareRecord,
+        current_shares: Callable[[], SharesResponse],
+    ) -> None:
+        self._access = access
+        self._record = record
+        self._current_shares = current_shares
+
+    def handle(self, request: OperatorRequest) -> None:
+        """Respond now or in a later step."""
+        if request.method == "GET":
+            self._when_current(lambda current: self._respond_with_shares(request))
+        elif request.method == "POST":
+            self._handle_set(request)
+        else:
+            self._access.context.respond(
+                request.pending_response, HTTPStatus.METHOD_NOT_ALLOWED.value
+            )
+
+    def _when_current(self, on_checked: Callable[[bool], None]) -> None:
+        """Call back with whether the watch cache is as new as this request."""
+        self._access.watch.when_current(on_checked, self._access.context.now)
+
+    # -- setting shares --------------------------------------------------------------------
+
+    def _handle_set(self, request: OperatorRequest) -> None:
+        try:
+            wanted = msgspec.json.decode(request.body, type=SetShares)
+        except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+            self._respond_error(request, HTTPStatus.BAD_REQUEST, "malformed", str(error))
+            return
+
+        def on_checked(current: bool) -> None:
+            if current:
+                self._apply(request, wanted)
+            else:
+                self._respond_unavailable(request)
+
+        self._when_current(on_checked)
+
+    def _apply(self, request: OperatorRequest, wanted: SetShares) -> None:
+        try:
+            table = apply_request(self._record.table, wanted, self._record.deployment())
+        except ConflictError as error:
+            self._respond_conflict(request, str(error), error.revision)
+            return
+        except RefusedError as error:
+            self._respond_refused(request, str(error))
+            return
+        if table is self._record.table:
+            # Carried out before, and its response was lost.
+            self._respond_with_shares(request)
+            return
+        self._write(request, wanted, table)
+
+    def _write(self, request: OperatorRequest, wanted: SetShares, table: ShareTable) -> None:
+        value = msgspec.json.encode(table)
+        if len(value) > self._access.context.record_format.value_bytes:
+            self._respond_refused(request, "too long for a record")
+            return
+
+        def on_result(result: WriteResult) -> None:
+            if result.refused:
+                self._respond_unavailable(request)
+            else:
+                # Whatever the response was, the record says whose change came first.
+                self._when_current(
+                    lambda current: self._respond_with_outcome(request, wanted, current)
+                )
+
+        self._record.write(value, on_result, RequestPriority.ACCEPT)
+
+    def _respond_with_outcome(
+        self, request: OperatorRequest, wanted: SetShares, current: bool
+    ) -> None:
+        table = self._record.table
+        if revision_of_operation(table, wanted.operation) is not None:
+            self._respond_with_shares(request)
+        elif current:
+            reason = f"the shares have revision {table.revision}"
+            self._respond_conflict(request, reason, table.revision)
+        else:
+            self._respond_unavailable(request)
+
+    # -- responses -------------------------------------------------------------------------
+
+    def _respond_with_shares(self, request: OperatorRequest) -> None:
+        """Also where the watch cache may be stale: the response has its age."""
+        body = msgspec.json.encode(self._current_shares())
+        self._access.context.respond(request.pending_response, HTTPStatus.OK.value, body)
+
+    def _respond_conflict(self, request: OperatorRequest, reason: str, revision: int) -> None:
+        self._respond_error(request, HTTPStatus.CONFLICT, "conflict", reason, revision)
+
+    def _respond_refused(self, request: OperatorRequest, reason: str) -> None:
+        self._respond_error(request, HTTPStatus.UNPROCESSABLE_ENTITY, "refused", reason)
+
+    def _respond_error(
+        self,
+        request: OperatorRequest,
+        status: HTTPStatus,
+        error: str,
+        reason: str,
+        revision: int | None = None,
+    ) -> None:
+        body = msgspec.json.encode(ErrorResponse(error, reason, revision))
+        self._access.context.respond(request.pending_response, status.value, body)
+
+    def _respond_unavailable(self, request: OperatorRequest) -> None:
+        body = msgspec.json.encode(ErrorResponse("unavailable", "state service out of reach"))
+        self._access.context.respond(
+            request.pending_response,
+            HTTPStatus.SERVICE_UNAVAILABLE.value,
+            body,
+            RETRY_AFTER_SECONDS,
+        )
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -17,18 +17,23 @@
 from fallpulley.effects import OperatorRequest
 from fallpulley.records.shard_record import decode_shard
 from fallpulley.settings import SharesSettings, Team
-from fallpulley.shares.command import UsageError, parse_table, print_answer
+from fallpulley.shares.command import UsageError, parse_table, print_shares
 from fallpulley.shares.messages import SetShares, Share, SharesResponse, ShareTable
-from fallpulley.shares.policy import Policy, PolicyError, PolicyInput, check_expression, compiled
+from fallpulley.shares.policy import (
+    Policy,
+    PolicyError,
+    PolicyInput,
+    check_expression,
+    compile_expression,
+)
 from fallpulley.shares.table import (
     ConflictError,
+    Deployment,
     RefusedError,
-    Situation,
-    change,
-    check,
-    moves,
-    targets,
+    apply_request,
+    validate_shares,
 )
+from fallpulley.shares.targets import plan_moves, target_processors
 from tests.test_standby import write_files
 from tests.test_stories import others, submit
 from tests.world import LABELS, TEAMS, World
@@ -40,9 +45,9 @@
 # -- arithmetic --------------------------------------------------------------------------------
 
 
-def situation(fleet: float = 100.0, **homes: str) -> Situation:
+def deployment(fleet: float = 100.0, **homes: str) -> Deployment:
     teams = {"crew": Team("crew"), "small": Team("small", cpus_max=8.0)}
-    return Situation(["a", "b", "c"], teams, homes, fleet)
+    return Deployment(["a", "b", "c"], teams, homes, fleet)
 
 
 @pytest.mark.parametrize(
@@ -64,18 +69,18 @@
 )
 def test_impossible_shares_are_refused_with_the_reason(shares: dict[str, Share], why: str) -> None:
     with pytest.raises(RefusedError, match=why):
-        check(shares, situation(small="c"))
+        validate_shares(shares, deployment(small="c"))
 
 
 def test_a_change_is_one_revision_and_a_repeat_of_it_the_same() -> None:
-    first = change(ShareTable(), SetShares({"a": Share(1.0)}, "one", 0), situation())
+    first = apply_request(ShareTable(), SetShares({"a": Share(1.0)}, "one", 0), deployment())
     assert (first.revision, first.shares) == (1, {"a": Share(1.0)})
-    assert change(first, SetShares({"a": Share(1.0)}, "one", 0), situation()) is first
+    assert apply_request(first, SetShares({"a": Share(1.0)}, "one", 0), deployment()) is first
     with pytest.raises(ConflictError, match="revision 1"):
-        change(first, SetShares({"b": Share(1.0)}, "two", 0), situation())
+        apply_request(first, SetShares({"b": Share(1.0)}, "two", 0), deployment())
     table = first
     for n in range(20):
-        table = change(table, SetShares({"a": Share(1.0)}, f"n{n}"), situation())
+        table = apply_request(table, SetShares({"a": Share(1.0)}, f"n{n}"), deployment())
     assert table.revision == 21 and len(table.operations) <= 8
 
 
@@ -97,7 +102,7 @@
 def test_targets_add_up_to_the_fleet_within_floors_and_ceilings(
     shares: dict[str, Share], fleet: float
 ) -> None:
-    found = targets(shares, fleet)
+    found = target_processors(shares, fleet)
     assert sum(found.values()) == pytest.approx(fleet, rel=1e-3)
     floors = sum(share.floor for share in shares.values())
     ceilings = sum(share.ceiling or math.inf for share in shares.values())
@@ -108,23 +113,23 @@
             assert found[label] <= share.ceiling + 0.01
     actual = dict.fromkeys(shares, fleet / len(shares))
     after = dict(actual)
-    for move in moves(actual, found):
+    for move in plan_moves(actual, found):
         assert move.processors > 0
-        after[move.giver] -= move.processors
-        after[move.taker] += move.processors
+        after[move.source] -= move.processors
+        after[move.destination] += move.processors
     for label in shares:
         assert after[label] == pytest.approx(found[label], abs=0.01 * fleet)
 
 
 def test_a_machine_moves_only_where_both_blocks_together_come_nearer_to_their_targets() -> None:
     """The last machine of a block without a share goes, though each taker lacks half of it."""
-    found = moves({"a": 32.0, "b": 32.0, "c": 8.0}, {"a": 36.0, "b": 36.0, "c": 0.0})
-    assert all(move.giver == "c" and move.improves(8.0) for move in found)
+    found = plan_moves({"a": 32.0, "b": 32.0, "c": 8.0}, {"a": 36.0, "b": 36.0, "c": 0.0})
+    assert all(move.source == "c" and move.improves(8.0) for move in found)
     assert not any(
-        move.improves(8.0) for move in moves({"a": 40.0, "b": 32.0}, {"a": 36.0, "b": 36.0})
+        move.improves(8.0) for move in plan_moves({"a": 40.0, "b": 32.0}, {"a": 36.0, "b": 36.0})
     )
     # Two givers do not both fill what one taker lacks.
-    two = moves({"a": 12.0, "b": 12.0, "c": 0.0}, {"a": 8.0, "b": 8.0, "c": 8.0})
+    two = plan_moves({"a": 12.0, "b": 12.0, "c": 0.0}, {"a": 8.0, "b": 8.0, "c": 8.0})
     assert [move.improves(8.0) for move in two] == [True, False]
 
 
@@ -227,7 +232,7 @@
     world.run(4.0)
     status, found = ask(world, "node-1", "GET")
     assert status == 200 and found["converged"] and found["blocks"][0]["target"] is None
-    print_answer(msgspec.convert(found, SharesResponse), as_json=False)
+    print_shares(msgspec.convert(found, SharesResponse), as_json=False)
     (row,) = [line for line in capsys.readouterr().out.splitlines() if "converged" in line]
     assert row.split() == [found["blocks"][0]["block"], world.holder(), "-", "32", "4", "converged"]
 
@@ -562,25 +567,26 @@
 
 
 def test_a_policy_gives_weights_by_load_backlog_and_hour() -> None:
-    assert compiled(WEIGH)(values(2.0, 0.0)) == {"node-0": 3.0, "node-1": 1.0}
+    assert compile_expression(WEIGH)(values(2.0, 0.0)) == {"node-0": 3.0, "node-1": 1.0}
     urgent = "{'node-0': backlog['node-0']['high'] > 10.0 ? 2.0 : 1.0, 'node-1': 1.0}"
-    assert compiled(urgent)(values(11.0, 0.0))["node-0"] == 2.0
+    assert compile_expression(urgent)(values(11.0, 0.0))["node-0"] == 2.0
     night = "{'node-0': hour < 6.0 ? 1.0 : 4.0}"
-    assert compiled(night)(values(0.0, 0.0)) == {"node-0": 4.0}
+    assert compile_expression(night)(values(0.0, 0.0)) == {"node-0": 4.0}
 
 
 def test_a_policy_keeps_to_its_interval_its_hysteresis_and_the_last_good_shares() -> None:
     policy = Policy(SharesSettings(True, WEIGH, 30.0))
     table = ShareTable(1, {"node-0": Share(1.0, 8.0), "node-1": Share(1.0)})
-    assert policy.wished(0.0, table, lambda: values(0.1, 0.0)) is None  # too small a difference
-    assert policy.wished(10.0, table, lambda: values(9.0, 0.0)) is None  # too soon
-    wished = policy.wished(31.0, table, lambda: values(9.0, 0.0))
+    # Too small a difference.
+    assert policy.wanted_shares(0.0, table, lambda: values(0.1, 0.0)) is None
+    assert policy.wanted_shares(10.0, table, lambda: values(9.0, 0.0)) is None  # too soon
+    wished = policy.wanted_shares(31.0, table, lambda: values(9.0, 0.0))
     assert wished == {"node-0": Share(10.0, 8.0), "node-1": Share(1.0)}
     lacking = PolicyInput({}, {}, 0.0)
-    assert policy.wished(62.0, table, lambda: lacking) is None  # fails, and ends
-    assert policy.wished(93.0, table, lambda: values(9.0, 0.0)) is None
+    assert policy.wanted_shares(62.0, table, lambda: lacking) is None  # fails, and ends
+    assert policy.wanted_shares(93.0, table, lambda: values(9.0, 0.0)) is None
     slow = Policy(SharesSettings(True, WEIGH, 30.0), clock=iter([0.0, 1.0]).__next__)
-    assert slow.wished(0.0, table, lambda: values(9.0, 0.0)) is None
+    assert slow.wanted_shares(0.0, table, lambda: values(9.0, 0.0)) is None
 
 
 def test_the_leader_alone_follows_the_policy(caplog: pytest.LogCaptureFixture) -> None:
@@ -596,7 +602,7 @@
     world.until(lambda: placed(world, {"node-0": 4, "node-1": 4}), 30.0)
     job = submit(world, 1, pieces=120, expect_s=4.0)
     world.until(lambda: placed(world, {"node-0": 2, "node-1": 6}), 40.0)
-    assert "share policy sets" in caplog.text
+    assert "share policy applied weights=" in caplog.text
     world.until(lambda: world.stage(job) == "done", 120.0)
     check_history(world)
 
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -28,8 +28,8 @@
 - `fleet.sizing`: all.
 - `standby`: `takeover.Expected`, `stream.Limits`, `Position`, `replica.Replica`,
   `follower.Assembly`, `Holder`, `Followed`.
-- `shares`: `policy.PolicyInput` (handed to an expression by names in the code), `table.Situation`,
-  `Move`, `reconciler.Targets`.
+- `shares`: `policy.PolicyInput` (handed to an expression by names in the code), `table.Deployment`,
+  `targets.Move`, `reconciler.Targets`.
 """
 
 from __future__ import annotations
@@ -48,6 +48,7 @@
 import pytest
 
 from fallpulley import settings
+from fallpulley.cli import load_settings as load_checked_settings
 from fallpulley.duties import messages as duties
 from fallpulley.fleet import messages as fleet
 from fallpulley.jobs import messages as jobs
@@ -175,7 +176,7 @@
         (path.parent / settings.OPERATORS_FILE).write_text(operators, encoding="utf-8")
         try:
             with mock.patch.object(settings, "DEPLOYED_FILES", ()):
-                return settings.load(str(path))
+                return load_checked_settings(str(path))
         except settings.SettingsError as error:
             raise settings.SettingsError(str(error).replace(f"{directory}/", "")) from None
 
