--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -41,7 +41,7 @@
 
 
 class DrainCost(NamedTuple):
-    """How much it disturbs to take a machine out of a shard; the least comes first."""
+    """How much it disturbs to drain a machine; the lowest comes first."""
 
     busy: bool
     not_yet_draining: bool
@@ -114,8 +114,8 @@
         return machine_type.cpus if machine_type is not None else 0.0
 
     def _choose_leaving(self, shard: Shard, moves: list[Move]) -> dict[str, str]:
-        """Machines to leave -> the shards that get them; those that it disturbs least come first:
-        idle, draining already, then with the least running."""
+        """Machines to leave -> the shards that get them, by `DrainCost`: idle ones first, then those
+        that drain already, then those that run the fewest processors' worth of tasks."""
         chosen: dict[str, str] = {}
         remaining = list(moves)
         for machine in sorted(shard.machines.values(), key=_drain_cost):
--- a/fallpulley/standby/messages.py
+++ b/fallpulley/standby/messages.py
@@ -1,7 +1,7 @@
-"""What holder and followers send each other: tagged tuples on the mesh, payloads compressed.
+"""Messages between an owner and its followers: tagged arrays on the mesh, payloads compressed.
 
 A controller without a standby, or of an older version, drops these messages: it does not know
-their tags.
+their tags. They are sent as arrays: the order of fields must not change.
 """
 
 from __future__ import annotations
@@ -13,24 +13,29 @@
 
 # The format of entries and snapshots; a message in another one is dropped and counted.
 FORMAT = 1
-# Most bytes of a payload, as sent and unpacked: a request holds 64 KiB, in base64.
+# Limits of a payload as sent and as unpacked: a request holds 64 KiB, in base64.
 MAX_PACKED_BYTES = 40 * 1024
 MAX_UNPACKED_BYTES = 1024 * 1024
 COMPRESSION_LEVEL = 3
 
+# In place of the last entry applied: the follower has no replica.
+NO_REPLICA = -1
+# In place of the next part of a snapshot: the follower needs none.
+NO_PART_NEEDED = -1
+
 
 class PayloadError(Exception):
     """A payload cannot be used; the message says why."""
 
 
 class LogBatch(msgspec.Struct, tag="standby_log", array_like=True):
-    """Entries of the log from `first` on; none: asks the follower where it stands."""
+    """Entries of the log from `first` on; with none, it asks the follower for its position."""
 
     format: int
-    controller_id: str  # the holder and its process
+    controller_id: str  # of the owner
     incarnation: str
     shard_id: str
-    token: int  # the stamp at which the holder took the block
+    token: int  # the revision at which the owner acquired the shard
     first: int
     last: int  # the newest entry of the log, whether sent or not
     positions: dict[str, int]  # follower -> the last entry it has acknowledged
@@ -54,23 +59,25 @@
 
 
 class Acknowledgement(msgspec.Struct, tag="standby_ack", array_like=True):
-    """Where a follower stands with a block."""
+    """The position of a follower in a shard's log."""
 
-    controller_id: str  # the follower
+    controller_id: str  # of the follower
     shard_id: str
-    token: int  # the holder's, under which it follows
-    last: int  # the last entry applied
-    snapshot_part: int  # the next part it needs; -1: it needs none
+    token: int  # the owner's, under which it follows
+    last: int  # the last entry applied, or `NO_REPLICA`
+    snapshot_part: int  # the next part it needs, or `NO_PART_NEEDED`
 
 
 class Replaced(msgspec.Struct, tag="standby_replaced", array_like=True):
-    """A holder's message came after somebody else took the block."""
+    """An owner's message came after another controller had acquired the shard."""
 
-    controller_id: str  # who says so
+    controller_id: str  # of the sender
     shard_id: str
-    token: int  # of the later holder
+    token: int  # of the later owner
 
 
+ReplicationMessage = LogBatch | SnapshotPart
+FollowerResponse = Acknowledgement | Replaced
 Message = LogBatch | SnapshotPart | Acknowledgement | Replaced
 
 
@@ -88,7 +95,7 @@
 
 
 def checksum_of(payload: bytes) -> int:
-    """Tells a payload that was damaged or cut short."""
+    """Shows that a payload was damaged or cut short."""
     return zlib.crc32(payload)
 
 
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -1,127 +1,73 @@
-"""The holder's side: the log of its decisions, and what each follower gets of it.
+"""The owner's side: sends the log of its decisions to each follower.
 
 A follower is sent one message at a time and the next one when it has acknowledged: a slow one
-costs the holder nothing, and falls back to a snapshot once the log has dropped what it needs.
+costs the owner nothing, and is sent a snapshot once the log has dropped the entries it needs.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable, Iterable
+from typing import NamedTuple
 
 import msgspec
 
 from fallpulley.shards.shard import Shard
-from fallpulley.standby.entries import (
-    Cached,
-    ClassLearned,
-    Entry,
-    Granted,
-    JobLearned,
-    Left,
-    Marked,
-    Reachable,
-    Released,
-    Started,
-    Stopped,
-)
+from fallpulley.standby.decision_log import DecisionLog
 from fallpulley.standby.messages import (
     FORMAT,
+    NO_PART_NEEDED,
+    NO_REPLICA,
     Acknowledgement,
     LogBatch,
+    ReplicationMessage,
     SnapshotPart,
     checksum_of,
     pack,
 )
-from fallpulley.standby.replica import JobCopy, MachineCopy, Snapshot
+from fallpulley.standby.replica import Snapshot
+from fallpulley.standby.snapshot import snapshot_parts
 from fallpulley.state.client import TokenBucket
-from fallpulley.workers.machine import Machine, TaskRun
 
-# Entries in a message, and machines or jobs in a part of a snapshot: packed, some 10 KiB.
-BATCH_ENTRIES = 500
-PART_ITEMS = 150
+# Entries in a message: packed, some 10 KiB.
+MAX_BATCH_ENTRIES = 500
 # A message that is not acknowledged is sent again after so many batch intervals.
 RESEND_BATCHES = 4.0
-# With nothing new to tell, a message goes so much more rarely: it shows that there is nothing.
+# Without new entries, messages go out at this multiple of the batch interval: they show the
+# follower that there are none.
 IDLE_BATCHES = 4.0
-# A follower that never answered, an older version perhaps, is asked so much more rarely.
+# A follower that never responded, of an older version perhaps, is asked at this multiple.
 UNRESPONSIVE_BATCHES = 20.0
 
 
-class Limits(msgspec.Struct, frozen=True):
+class StreamLimits(msgspec.Struct, frozen=True):
     """Bounds of a stream, derived from the settings."""
 
-    batch_s: float
-    log_entries: int
-    bytes_per_s: float
+    batch_s: float  # the batch interval
+    log_entries: int  # kept for followers that are behind
+    bytes_per_s: float  # of payloads, to all followers
 
 
-class Position(msgspec.Struct):
-    """Where a follower stands, as far as the holder knows."""
+class FollowerPosition(msgspec.Struct):
+    """How far a follower is, as far as the owner knows, and what it is being sent."""
 
-    last: int = -1  # the last entry acknowledged; -1: it has no replica
-    answered: bool = False
-    sent_at: float = float("-inf")
-    waiting: bool = False  # a message is under way
-    parts: list[Snapshot] = []  # of a snapshot that is being sent
-    parts_last: int = 0  # the entry that the snapshot stands for
+    last: int = NO_REPLICA  # the last entry acknowledged
+    responded: bool = False  # at least once
+    sent_at: float = float("-inf")  # by the steady clock
+    in_flight: bool = False  # a message has not been acknowledged yet
+    parts: list[Snapshot] = []  # of the snapshot that is being sent
+    parts_last: int = 0  # the newest entry that the snapshot includes
     next_part: int = 0
 
 
-class DecisionLog:
-    """Takes a holder's decisions as entries, the newest `most` of them kept."""
-
-    def __init__(self, most: int) -> None:
-        self.entries: deque[Entry] = deque(maxlen=most)
-        self.last = 0  # number of the newest entry; the first one is 1
-
-    @property
-    def first(self) -> int:
-        """Number of the oldest entry still kept."""
-        return self.last - len(self.entries) + 1
-
-    def since(self, number: int, most: int) -> list[Entry]:
-        """Up to `most` entries from `number` on."""
-        begin = number - self.first
-        return [self.entries[at] for at in range(begin, min(len(self.entries), begin + most))]
-
-    def _append(self, entry: Entry) -> None:
-        self.entries.append(entry)
-        self.last += 1
-
-    def task_started(self, run: TaskRun) -> None:
-        self._append(Started(run.machine_id, run.task_id, run.attempt))
-
-    def task_stopped(self, run: TaskRun) -> None:
-        self._append(Stopped(run.machine_id, run.task_id, run.attempt))
-
-    def task_gone(self, run: TaskRun, cause: str) -> None:
-        self._append(Left(run.machine_id, run.task_id, run.attempt, cause))
-
-    def run_time_learned(self, job: str, observed: int, observed_s: float) -> None:
-        self._append(JobLearned(job, observed, round(observed_s, 2)))
-
-    def class_correction_learned(self, job_class: str, factor: float) -> None:
-        self._append(ClassLearned(job_class, round(factor, 4)))
-
-    def machine_granted(self, machine_id: str) -> None:
-        self._append(Granted(machine_id))
+class OutgoingMessage(NamedTuple):
+    """A message, and the controller that gets it."""
 
-    def machine_occupancy_changed(self, machine_id: str, used: bool) -> None:
-        self._append(Marked(machine_id, used))
-
-    def machine_released(self, machine_id: str) -> None:
-        self._append(Released(machine_id))
-
-    def machine_reachability_changed(self, machine_id: str, reachable: bool) -> None:
-        self._append(Reachable(machine_id, reachable))
-
-    def image_cached(self, machine_id: str, image: str, size_gb: float) -> None:
-        self._append(Cached(machine_id, image, size_gb))
+    follower: str
+    message: ReplicationMessage
 
 
 class ShardStream:
-    """Brings the log of one held block to its followers."""
+    """Replicates the log of one owned shard to its followers."""
 
     def __init__(
         self,
@@ -129,75 +75,83 @@
         controller_id: str,
         incarnation: str,
         followers: Iterable[str],
-        limits: Limits,
+        limits: StreamLimits,
     ) -> None:
+        """`controller_id` and `incarnation` are the owner's, `followers` controllers."""
         self.shard = shard
         self.controller_id = controller_id
         self.incarnation = incarnation
         self.limits = limits
         self.log = DecisionLog(limits.log_entries)
-        self.positions = {follower: Position() for follower in followers}
-        self.snapshot: Callable[[Shard], list[Snapshot]] = snapshot_parts
+        self.positions = {follower: FollowerPosition() for follower in followers}
+        self.take_snapshot: Callable[[Shard], list[Snapshot]] = snapshot_parts
         self.sent_bytes = 0  # of payloads, to all followers
         self._bucket = TokenBucket(limits.bytes_per_s)
 
     @property
     def token(self) -> int:
-        """The stamp at which the block was taken: the same for the whole tenure."""
+        """The revision at which the shard was acquired: the same for as long as it is owned."""
         return self.shard.acquired_revision
 
-    def due(self, now: float) -> list[tuple[str, LogBatch | SnapshotPart]]:
-        """What goes out now, by follower, within the bound on bytes a second."""
+    def next_messages(self, now: float) -> list[OutgoingMessage]:
+        """The messages to send now, within the limit of bytes a second."""
         self._bucket.refill(now)
-        found = []
+        messages = []
         for follower, position in self.positions.items():
             if self._bucket.tokens <= 0:
                 break
-            if now < position.sent_at + self._pause_s(position):
+            if now < position.sent_at + self._interval_s(position):
                 continue
-            message = self._next(position)
+            message = self._next_message(position)
             self._bucket.tokens -= len(message.payload)
             self.sent_bytes += len(message.payload)
             position.sent_at = now
-            position.waiting = True
-            found.append((follower, message))
-        return found
+            position.in_flight = True
+            messages.append(OutgoingMessage(follower, message))
+        return messages
 
-    def follower_began(self, follower: str) -> None:
-        """A new process of a follower is there: it is asked at once where it stands."""
+    def on_follower_session(self, follower: str) -> None:
+        """A follower has a new process: it is asked for its position at once."""
         if follower in self.positions:
-            self.positions[follower] = Position()
+            self.positions[follower] = FollowerPosition()
 
-    def lags(self) -> dict[str, int]:
+    def lag_by_follower(self) -> dict[str, int]:
         """Entries that each follower has not acknowledged; all, where it has no replica."""
         return {
-            controller_id: self.log.last - max(0, p.last)
-            for controller_id, p in self.positions.items()
+            follower: self.log.last - max(0, position.last)
+            for follower, position in self.positions.items()
         }
 
-    def _pause_s(self, position: Position) -> float:
-        if not position.waiting:
-            if self._behind(position):
+    # -- sending ---------------------------------------------------------------------------
+
+    def _interval_s(self, position: FollowerPosition) -> float:
+        """The time between the last message and the next one."""
+        if not position.in_flight:
+            if self._has_more(position):
                 return 0.0
             idle = not position.parts and position.last == self.log.last
             return (IDLE_BATCHES if idle else 1.0) * self.limits.batch_s
-        batches = RESEND_BATCHES if position.answered else UNRESPONSIVE_BATCHES
+        batches = RESEND_BATCHES if position.responded else UNRESPONSIVE_BATCHES
         return batches * self.limits.batch_s
 
-    def _behind(self, position: Position) -> bool:
-        """More waits than a message holds: the next one follows as soon as the last has come,
-        within the bound on bytes. At one message an interval, a fleet of thousands decided more
-        than the stream carried, and its snapshots were out of date before their last part."""
+    def _has_more(self, position: FollowerPosition) -> bool:
+        """More waits than a message holds: the next one is sent as soon as the last is
+        acknowledged, within the limit of bytes. At one message an interval, the owner of a fleet of
+        thousands decided more than the stream carried, and its snapshots were out of date before
+        their last part."""
         if position.parts:
             return position.next_part > 0
-        return 0 <= position.last < self.log.last - BATCH_ENTRIES
+        return 0 <= position.last < self.log.last - MAX_BATCH_ENTRIES
 
-    def _next(self, position: Position) -> LogBatch | SnapshotPart:
-        if position.parts:
-            return self._part(position)
-        lost = position.last + 1 < self.log.first
-        entries = [] if position.last < 0 or lost else self._entries_after(position.last)
-        payload = pack(entries)
+    def _next_message(self, position: FollowerPosition) -> ReplicationMessage:
+        return self._snapshot_part(position) if position.parts else self._log_batch(position)
+
+    def _log_batch(self, position: FollowerPosition) -> LogBatch:
+        entries_dropped = position.last + 1 < self.log.first
+        if position.last < 0 or entries_dropped:
+            payload = pack([])
+        else:
+            payload = pack(self.log.entries_from(position.last + 1, MAX_BATCH_ENTRIES))
         return LogBatch(
             FORMAT,
             self.controller_id,
@@ -206,15 +160,12 @@
             self.token,
             max(position.last, 0) + 1,
             self.log.last,
-            {name: other.last for name, other in self.positions.items()},
+            {follower: other.last for follower, other in self.positions.items()},
             checksum_of(payload),
             payload,
         )
 
-    def _entries_after(self, last: int) -> list[Entry]:
-        return self.log.since(last + 1, BATCH_ENTRIES)
-
-    def _part(self, position: Position) -> SnapshotPart:
+    def _snapshot_part(self, position: FollowerPosition) -> SnapshotPart:
         payload = pack(position.parts[position.next_part])
         return SnapshotPart(
             FORMAT,
@@ -229,61 +180,40 @@
             payload,
         )
 
-    def acknowledged(self, answer: Acknowledgement) -> None:
-        """A follower says where it stands under our token."""
-        position = self.positions.get(answer.controller_id)
-        if position is None or answer.token != self.token:
+    # -- acknowledgements ------------------------------------------------------------------
+
+    def on_acknowledgement(self, message: Acknowledgement) -> None:
+        """Update a follower's position, if it follows under the token of this stream."""
+        position = self.positions.get(message.controller_id)
+        if position is None or message.token != self.token:
             return
-        if answer.snapshot_part < 0:
-            self._log_acknowledged(position, answer.last)
+        if message.snapshot_part <= NO_PART_NEEDED:
+            self._on_entries_acknowledged(position, message.last)
         else:
-            self._part_acknowledged(position, answer.snapshot_part)
+            self._on_part_needed(position, message.snapshot_part)
 
-    def _log_acknowledged(self, position: Position, last: int) -> None:
+    def _on_entries_acknowledged(self, position: FollowerPosition, last: int) -> None:
         if position.parts and last < position.parts_last and not position.next_part:
-            return  # from before the snapshot that is under way
-        position.answered, position.waiting = True, False
-        # Also where parts of a snapshot have come: the follower has given them up, for they were of
-        # another one. The same part was once sent again and again, and never wanted.
+            return  # from before the snapshot that is being sent
+        position.responded, position.in_flight = True, False
+        # Also where parts of a snapshot have come: the follower has dropped them, for they were of
+        # another one. The same part was once sent again and again, and never needed.
         position.parts = []
         position.last = max(position.last, last)
         if position.last + 1 < self.log.first:
             self._begin_snapshot(position)
 
-    def _part_acknowledged(self, position: Position, next_part: int) -> None:
-        """The follower needs part `next_part` of a snapshot; the first one: any snapshot."""
-        position.answered, position.waiting = True, False
-        position.last = -1
-        restarted = next_part == 0 and position.next_part > 0
-        if not position.parts or restarted or next_part >= len(position.parts):
+    def _on_part_needed(self, position: FollowerPosition, part: int) -> None:
+        """The follower needs this part of the snapshot; part 0: of any snapshot."""
+        position.responded, position.in_flight = True, False
+        position.last = NO_REPLICA
+        restarted = part == 0 and position.next_part > 0
+        if not position.parts or restarted or part >= len(position.parts):
             self._begin_snapshot(position)
         else:
-            position.next_part = next_part
+            position.next_part = part
 
-    def _begin_snapshot(self, position: Position) -> None:
-        position.parts = self.snapshot(self.shard)
+    def _begin_snapshot(self, position: FollowerPosition) -> None:
+        position.parts = self.take_snapshot(self.shard)
         position.parts_last = self.log.last
         position.next_part = 0
-
-
-def snapshot_parts(shard: Shard) -> list[Snapshot]:
-    """The state of a held block, in parts that fit a message."""
-    machines = [(machine_id, _copy(machine)) for machine_id, machine in shard.machines.items()]
-    jobs = [
-        (name, JobCopy(job.observed_tasks, round(job.observed_run_s, 2)))
-        for name, job in shard.jobs.items()
-        if job.observed_tasks
-    ]
-    parts = [Snapshot({}, {}, dict(shard.corrections.factors()))]
-    for at in range(0, len(machines), PART_ITEMS):
-        parts.append(Snapshot(dict(machines[at : at + PART_ITEMS])))
-    for at in range(0, len(jobs), PART_ITEMS):
-        parts.append(Snapshot({}, dict(jobs[at : at + PART_ITEMS])))
-    return parts
-
-
-def _copy(machine: Machine) -> MachineCopy:
-    attempts = {run.task_id: run.attempt for run in machine.runs.values()}
-    return MachineCopy(
-        machine.heartbeat.online, machine.entry.occupied, attempts, dict(machine.images.cached)
-    )
--- a/tests/loopback/measure_takeover.py
+++ b/tests/loopback/measure_takeover.py
@@ -27,7 +27,7 @@
 # Tasks kept waiting for each machine.
 WAITING_TASKS = 4
 STEADY_S = 4.0  # between a takeover and the next one, at the least
-STATUS = re.compile(r"replication block=\S+ term=(\d+) entries=(\d+) bytes=(\d+)")
+STATUS = re.compile(r"replication status shard=\S+ token=(\d+) entries=(\d+) bytes=(\d+)")
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -58,7 +58,7 @@
         done = {piece for _, piece, _ in world.starts_seen}
         assert done == {f"{name}/{n}" for name in names for n in range(6)}
         logs = "".join(deployment.log_file(label).read_text() for label in deployment.processes)
-        assert "takeover with replica" in logs and "Traceback" not in logs
+        assert "failover with replica shard=" in logs and "Traceback" not in logs
 
 
 def test_a_killed_and_a_paused_holder_cost_no_job_and_nothing_runs_twice(
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -16,9 +16,16 @@
 from fallpulley.cli import main
 from fallpulley.controller import Controller
 from fallpulley.settings import load
+from fallpulley.standby import snapshot as snapshot_module
 from fallpulley.standby import stream as stream_module
-from fallpulley.standby.entries import Entry, Left, Reachable, Released, Started
-from fallpulley.standby.follower import Follower, Owner
+from fallpulley.standby.entries import (
+    Entry,
+    MachineReleased,
+    ReachabilityChanged,
+    TaskEnded,
+    TaskStarted,
+)
+from fallpulley.standby.follower import Follower, ShardOwner
 from fallpulley.standby.messages import (
     FORMAT,
     MAX_PACKED_BYTES,
@@ -33,7 +40,7 @@
     pack,
     unpack,
 )
-from fallpulley.standby.replica import GapError, MachineCopy, Replica, Snapshot, apply
+from fallpulley.standby.replica import GapError, MachineCopy, Replica, Snapshot, apply_entries
 from fallpulley.standby.service import Standby
 from tests.test_edges import GOOD
 from tests.test_stories import others, ready, submit
@@ -87,15 +94,15 @@
 def entries_of(chance: random.Random, number: int) -> list[Entry]:
     """Decisions about two machines; an attempt leaves only after it has started."""
     found: list[Entry] = []
-    there: list[Started] = []
+    there: list[TaskStarted] = []
     for n in range(number):
         if there and chance.random() < 0.4:
             gone = there.pop(chance.randrange(len(there)))
-            found.append(Left(gone.machine_id, gone.task_id, gone.attempt, "done"))
+            found.append(TaskEnded(gone.machine_id, gone.task_id, gone.attempt, "done"))
         elif chance.random() < 0.1:
-            found.append(Reachable(chance.choice("ab"), chance.random() < 0.5))
+            found.append(ReachabilityChanged(chance.choice("ab"), chance.random() < 0.5))
         else:
-            there.append(Started(chance.choice("ab"), f"job-1/{n}", n))
+            there.append(TaskStarted(chance.choice("ab"), f"job-1/{n}", n))
             found.append(there[-1])
     return found
 
@@ -103,14 +110,14 @@
 def test_a_replica_passes_over_what_it_has_and_notices_what_it_lacks() -> None:
     entries = entries_of(random.Random(1), 40)
     empty = Replica("block", 7, 0, Snapshot())
-    whole = apply(empty, 1, entries)
+    whole = apply_entries(empty, 1, entries)
     assert whole.last == 40 and empty.state.machines == {}
-    partly = apply(empty, 1, entries[:25])
-    assert apply(partly, 11, entries[10:]) == whole
-    assert apply(whole, 1, entries[:9]) == whole
+    partly = apply_entries(empty, 1, entries[:25])
+    assert apply_entries(partly, 11, entries[10:]) == whole
+    assert apply_entries(whole, 1, entries[:9]) == whole
     with pytest.raises(GapError):
-        apply(partly, 27, entries[26:])
-    assert "a" not in apply(whole, 41, [Released("a")]).state.machines
+        apply_entries(partly, 27, entries[26:])
+    assert "a" not in apply_entries(whole, 41, [MachineReleased("a")]).state.machines
 
 
 @seed(20261202)
@@ -125,7 +132,7 @@
     stream, state = stream_over("block", token=20, most=12)
     stale, _ = stream_over("block", token=10, most=12)
     follower = Follower("node-1", lambda block: None)
-    follower.receive(batch("node-9", token=20, last=0, entries=[]), 0.0)
+    follower.handle(batch("node-9", token=20, last=0, entries=[]), 0.0)
     flying: list[tuple[float, Any]] = []
     now = 0.0
     for step in range(400):
@@ -133,12 +140,12 @@
         quiet = step > 280
         if not quiet:
             for entry in entries_of(chance, chance.randint(0, 2)):
-                stream.log._append(entry)
-                state[0] = apply(Replica("block", 20, 0, state[0]), 1, [entry]).state
-                stale.log._append(entry)
+                stream.log.append(entry)
+                state[0] = apply_entries(Replica("block", 20, 0, state[0]), 1, [entry]).state
+                stale.log.append(entry)
         if not quiet and chance.random() < 0.02:
-            follower = Follower("node-1", lambda block: Owner("node-0", "boot-20", 25))
-        for _, message in [*stream.due(now), *stale.due(now)]:
+            follower = Follower("node-1", lambda block: ShardOwner("node-0", "boot-20", 25))
+        for _, message in [*stream.next_messages(now), *stale.next_messages(now)]:
             for _ in range(chance.choice([1, 1, 1, 2])):
                 if quiet or chance.random() >= loss:
                     flying.append((now + (0.0 if quiet else chance.random() * 2.0), message))
@@ -146,9 +153,9 @@
         flying = [(at, message) for at, message in flying if at > now]
         for message in due:
             if isinstance(message, Acknowledgement):
-                stream.acknowledged(message)
+                stream.on_acknowledgement(message)
                 continue
-            answer = follower.receive(message, now)
+            answer = follower.handle(message, now)
             if message.token < 20:
                 assert isinstance(answer, Replaced) and answer.token >= 20
                 continue
@@ -171,16 +178,16 @@
         now = step * 0.05
         for _ in range(100):
             number += 1
-            stream.log._append(Started("m0", f"job-000001/{number}", number))
-        for _, message in stream.due(now):
-            answer = follower.receive(message, now)
+            stream.log.append(TaskStarted("m0", f"job-000001/{number}", number))
+        for _, message in stream.next_messages(now):
+            answer = follower.handle(message, now)
             assert isinstance(answer, Acknowledgement)
-            stream.acknowledged(answer)
+            stream.on_acknowledgement(answer)
     followed = follower.shards["block"]
-    assert followed.replica is not None and stream.lags()["node-1"] <= 1000
+    assert followed.replica is not None and stream.lag_by_follower()["node-1"] <= 1000
 
 
-def stream_over(block: str, token: int, most: int) -> tuple[stream_module.BlockStream, list[Any]]:
+def stream_over(block: str, token: int, most: int) -> tuple[stream_module.ShardStream, list[Any]]:
     """A holder's stream of which the state is kept beside it, as its snapshots are made of."""
     state = [Snapshot()]
 
@@ -188,7 +195,7 @@
         shard_id = block
         acquired_revision = token
 
-    limits = stream_module.Limits(0.2, most, 1e6)
+    limits = stream_module.StreamLimits(0.2, most, 1e6)
     held: Any = Held()
     stream = stream_module.ShardStream(held, "node-0", f"boot-{token}", ["node-1"], limits)
 
@@ -196,7 +203,7 @@
         whole = state[0]
         return [Snapshot(), *(Snapshot({host: copy}) for host, copy in whole.machines.items())]
 
-    stream.snapshot = parts
+    stream.take_snapshot = parts
     return stream, state
 
 
@@ -216,10 +223,10 @@
     part = SnapshotPart(
         FORMAT, "node-0", "boot-5", "block", 5, 3, 0, 1, checksum_of(payload), payload
     )
-    answer = follower.receive(part, 0.0)
+    answer = follower.handle(part, 0.0)
     assert isinstance(answer, Acknowledgement)
     assert (answer.last, answer.snapshot_part) == (3, -1)
-    message = batch("node-0", 5, 4, [Started("a", "job-1/0", 1)], first=4)
+    message = batch("node-0", 5, 4, [TaskStarted("a", "job-1/0", 1)], first=4)
     if fault == "checksum":
         message.checksum ^= 1
     elif fault == "cut short":
@@ -233,13 +240,13 @@
     else:
         message.payload = pack([["started", 7]])
         message.checksum = checksum_of(message.payload)
-    answer = follower.receive(message, 1.0)
+    answer = follower.handle(message, 1.0)
     assert sum(follower.dropped.values()) == 1
     if fault == "format":
         assert answer is None
     else:
         assert isinstance(answer, Acknowledgement) and answer.snapshot_part == 0
-        again = follower.receive(part, 2.0)
+        again = follower.handle(part, 2.0)
         assert isinstance(again, Acknowledgement) and again.snapshot_part == -1
 
 
@@ -327,7 +334,7 @@
     third = next(label for label in others(old) if label != world.holder())
     world.paused.discard(old)
     world.run(3.0)
-    assert "replaced as holder" in caplog.text and not world.controllers[old].parts.owned.shards
+    assert "owner replaced shard=" in caplog.text and not world.controllers[old].parts.owned.shards
     followed = next(iter(standby_of(world.controllers[third]).follower.shards.values()))
     assert followed.owner == world.holder() and followed.replica is not None
     assert "vm-000001" in followed.replica.state.machines
@@ -405,7 +412,7 @@
 def test_the_holder_ends_while_a_snapshot_is_under_way_and_the_freshest_follower_with_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(stream_module, "PART_ITEMS", 1)
+    monkeypatch.setattr(snapshot_module, "MAX_PART_ITEMS", 1)
     world = warm(machines=5)
     job = submit(world, 1, pieces=10)
     world.times[job] = 8.0
@@ -483,7 +490,7 @@
     world.crash(slow)
     world.boot(slow, operators={})
     stream = next(iter(standby_of(world.controllers[old]).streams.values()))
-    stream.positions[slow] = stream_module.Position()
+    stream.positions[slow] = stream_module.FollowerPosition()
     world.link = link
     job = submit(world, 1, pieces=30)
     world.until(lambda: world.stage(job) == "done", 60.0)
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -26,8 +26,8 @@
 - `state.client`: `_Read`. `Change` and `Write` become the body of a transaction.
 - `workers`: `checkins.DeferredCheckin`, `ParkedCheckin`, `machine.Run`, `Outcome`.
 - `fleet.sizing`: all.
-- `standby`: `takeover.Expected`, `stream.Limits`, `Position`, `replica.Replica`,
-  `follower.Assembly`, `Holder`, `Followed`.
+- `standby`: `failover.ExpectedTasks`, `stream.StreamLimits`, `FollowerPosition`,
+  `replica.Replica`, `follower.SnapshotAssembly`, `FollowedShard`.
 - `shares`: `policy.PolicyInput` (handed to an expression by names in the code), `table.Deployment`,
   `targets.Move`, `reconciler.Targets`.
 """
@@ -246,16 +246,16 @@
     "entries payload": Kind(list, decode_payload(list[entries.Entry]), standby.pack),
     "snapshot payload": Kind(replica.Snapshot, decode_payload(replica.Snapshot), standby.pack),
     "snapshot": read_and_written(replica.Snapshot),
-    "entry started": one_of(entries.Started, decode_entry),
-    "entry stopped": one_of(entries.Stopped, decode_entry),
-    "entry left": one_of(entries.Left, decode_entry),
-    "entry job": one_of(entries.JobLearned, decode_entry),
-    "entry class": one_of(entries.ClassLearned, decode_entry),
-    "entry granted": one_of(entries.Granted, decode_entry),
-    "entry marked": one_of(entries.Marked, decode_entry),
-    "entry released": one_of(entries.Released, decode_entry),
-    "entry reachable": one_of(entries.Reachable, decode_entry),
-    "entry cached": one_of(entries.Cached, decode_entry),
+    "entry started": one_of(entries.TaskStarted, decode_entry),
+    "entry stopped": one_of(entries.TaskStopped, decode_entry),
+    "entry left": one_of(entries.TaskEnded, decode_entry),
+    "entry job": one_of(entries.RunTimeObserved, decode_entry),
+    "entry class": one_of(entries.CorrectionChanged, decode_entry),
+    "entry granted": one_of(entries.MachineGranted, decode_entry),
+    "entry marked": one_of(entries.OccupancyChanged, decode_entry),
+    "entry released": one_of(entries.MachineReleased, decode_entry),
+    "entry reachable": one_of(entries.ReachabilityChanged, decode_entry),
+    "entry cached": one_of(entries.ImageCached, decode_entry),
     # Operators.
     "shares request": read_and_written(shares.SetShares),
     "shares answer": read_and_written(shares.SharesResponse),
