--- a/fallpulley/duties/ownership.py
+++ b/fallpulley/duties/ownership.py
@@ -20,7 +20,7 @@
     def __init__(self, access: ControllerAccess, duty_registry: DutyRegistry) -> None:
         self._access = access
         self._duty_registry = duty_registry
-        self._next_claim_at: dict[Duty, float] = {}  # by the steady clock
+        self._next_claim_at: dict[Duty, float] = {}  # by the monotonic clock
 
     def token(self, duty: Duty) -> int | None:
         """The fencing token under which this controller owns the duty now; None: it does not."""
--- a/fallpulley/shares/messages.py
+++ b/fallpulley/shares/messages.py
@@ -48,7 +48,7 @@
 
 
 class ShardProgress(StrEnum):
-    """How far a shard is on its way to its share; the values are shown to operators."""
+    """The progress of a shard towards its share; the values are shown to operators."""
 
     CONVERGED = "converged"
     MOVING = "moving"
--- a/fallpulley/shares/policy.py
+++ b/fallpulley/shares/policy.py
@@ -138,7 +138,7 @@
         self._clock = clock
         self._evaluate: Evaluate | None = None
         self._ended = not settings.policy
-        self._next_at = float("-inf")  # by the steady clock
+        self._next_at = float("-inf")  # by the monotonic clock
 
     def wanted_shares(
         self, now: float, table: ShareTable, policy_input: Callable[[], PolicyInput]
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -114,8 +114,8 @@
         return machine_type.cpus if machine_type is not None else 0.0
 
     def _choose_leaving(self, shard: Shard, moves: list[Move]) -> dict[str, str]:
-        """Machines to leave -> the shards that get them, by `DrainCost`: idle ones first, then those
-        that drain already, then those that run the fewest processors' worth of tasks."""
+        """Machines to leave -> the shards that get them, by `DrainCost`: idle ones first, then
+        those that drain already, then those with the fewest processors in use."""
         chosen: dict[str, str] = {}
         remaining = list(moves)
         for machine in sorted(shard.machines.values(), key=_drain_cost):
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -32,7 +32,7 @@
         self._policy_runner = PolicyRunner(access, self._record, jobs)
         status = ShareStatus(access, self._record, self._reconciler, self._targets)
         self._requests = ShareRequests(access, self._record, status.response)
-        self._next_reconcile_at = float("-inf")  # by the steady clock
+        self._next_reconcile_at = float("-inf")  # by the monotonic clock
 
     def watches(self, key: str) -> bool:
         """Whether it is the record of shares."""
--- a/fallpulley/standby/failover.py
+++ b/fallpulley/standby/failover.py
@@ -67,10 +67,8 @@
         copy = copies.get(machine_id)
         return ProbePriority(copy is None or not copy.reachable, copy is None or not copy.attempts)
 
-    return {
-        machine_id: shard.machines[machine_id]
-        for machine_id in sorted(shard.machines, key=priority)
-    }
+    machine_ids = sorted(shard.machines, key=priority)
+    return {machine_id: shard.machines[machine_id] for machine_id in machine_ids}
 
 
 def log_comparison(shard: Shard, expected: ExpectedTasks) -> None:
--- a/fallpulley/standby/follower.py
+++ b/fallpulley/standby/follower.py
@@ -55,7 +55,7 @@
     replica: Replica | None = None
     assembly: SnapshotAssembly | None = None
     newest: int = 0  # the owner's newest entry, by its last message
-    behind_since: float | None = None  # by the steady clock
+    behind_since: float | None = None  # by the monotonic clock
     positions: dict[str, int] = {}  # follower -> last entry acknowledged, by the owner's message
 
 
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -59,7 +59,7 @@
         self._send = send
         self._logged_replaced: set[str] = set()  # shards of which it was logged
         self._logged_lagging: set[str] = set()
-        self._next_check_at = float("-inf")  # by the steady clock
+        self._next_check_at = float("-inf")  # by the monotonic clock
         self._next_status_at = float("-inf")
 
     def _owner_of(self, shard_id: str) -> ShardOwner | None:
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -52,7 +52,7 @@
 
     last: int = NO_REPLICA  # the last entry acknowledged
     responded: bool = False  # at least once
-    sent_at: float = float("-inf")  # by the steady clock
+    sent_at: float = float("-inf")  # by the monotonic clock
     in_flight: bool = False  # a message has not been acknowledged yet
     parts: list[Snapshot] = []  # of the snapshot that is being sent
     parts_last: int = 0  # the newest entry that the snapshot includes
