--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Machines and blocks that change hands by plan: between blocks, and from a holder unheard."""
+"""Planned changes of owner: machines between shards, shards from an owner without heartbeats."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 log = logging.getLogger(__name__)
 
-# A holder that hears none of its machines for this share of their lease gives its block away.
-UNHEARD_LEASES = 0.4
-# Of a block's machines, so many leave it at once for one below its target: one at a time, a block
+# An owner that gets no heartbeat for this share of its machines' lease hands its shard off.
+MAX_HEARTBEAT_GAP_LEASES = 0.4
+# Of a shard's machines, so many leave it at once for one below its target: one at a time, a shard
 # of thousands took most of an hour to be shared out.
 MAX_MOVED_SHARE = 0.1
 
 
 class ShardBalancer:
-    """Keeps blocks near their target sizes, and with holders that their machines reach."""
+    """Keeps shards near their target sizes, and with owners that their machines reach."""
 
     def __init__(
         self,
@@ -47,28 +47,30 @@
         self.jobs = jobs
         self.peers = peers
 
-    def hand_off_if_unheard(self, shard: Shard) -> None:
-        """No machine reaches us any more, but the state service and a peer do: the peer may be
-        heard by them, and if so in time for their leases."""
-        if (
-            self.context.now - shard.last_heartbeat_at
-            < UNHEARD_LEASES * self.context.timing.lease_s
-        ):
+    def hand_off_if_unreached(self, shard: Shard) -> None:
+        """Hand a shard off to a peer when none of its machines reaches us any more.
+
+        The state service and the peer still reach us: machines may reach the peer, and if so in
+        time for their leases.
+        """
+        max_gap_s = MAX_HEARTBEAT_GAP_LEASES * self.context.timing.lease_s
+        if self.context.now - shard.last_heartbeat_at < max_gap_s:
             return
         if not self.session.is_live() or not any(
-            m.heartbeat.online for m in shard.machines.values()
+            machine.heartbeat.online for machine in shard.machines.values()
         ):
             return
         peers = sorted(
-            shard_id
-            for shard_id in self.registry.sessions
-            if shard_id != self.context.controller_id and self.peers.is_recent(shard_id)
+            controller_id
+            for controller_id in self.registry.sessions
+            if controller_id != self.context.controller_id and self.peers.is_recent(controller_id)
         )
         if peers:
-            self.leadership.hand_off(shard.shard_id, peers[shard.fencing_token % len(peers)])
+            new_owner = peers[shard.fencing_token % len(peers)]
+            self.leadership.hand_off(shard.shard_id, new_owner)
 
     def target_sizes(self) -> dict[str, int]:
-        """How many machines each block should have; none where there is one block alone."""
+        """How many machines each shard should have; empty where there is one shard alone."""
         shards = self.registry.shards
         if len(shards) < 2:
             return {}
@@ -77,39 +79,48 @@
         return target_sizes(work, machines, self.leadership.machines_per_shard)
 
     def rebalance(self, shards: dict[str, Shard]) -> None:
-        """Give an idle machine to the block furthest below its target, while ours is above."""
+        """Move idle machines of our shards above their targets to the one furthest below its."""
         targets = self.provider.target_sizes
         if not targets or not self.session.is_live():
             return
         sizes = {
-            shard_id: len(entry[0].machines) for shard_id, entry in self.registry.shards.items()
+            shard_id: len(entry.value.machines) for shard_id, entry in self.registry.shards.items()
         }
         for shard_id, shard in shards.items():
-            short = {b: targets[b] - n for b, n in sizes.items() if b in targets and b != shard_id}
-            to = max(short, key=lambda shard_id: (short[shard_id], shard_id), default=None)
-            if shard_id not in targets or to is None or short[to] < 1:
+            shortages = {
+                other: targets[other] - size
+                for other, size in sizes.items()
+                if other in targets and other != shard_id
+            }
+            receiver = max(shortages, key=lambda other: (shortages[other], other), default=None)
+            if shard_id not in targets or receiver is None or shortages[receiver] < 1:
                 continue
-            if sizes[shard_id] - targets[shard_id] < 1 or self.writer.moving.get(shard_id):
+            surplus = sizes[shard_id] - targets[shard_id]
+            if surplus < 1 or self.writer.has_moves(shard_id):
                 continue
-            most = max(1, int(MAX_MOVED_SHARE * sizes[shard_id]))
-            self._move_idle_machines(
-                shard, to, min(most, short[to], sizes[shard_id] - targets[shard_id])
-            )
+            max_moved = max(1, int(MAX_MOVED_SHARE * sizes[shard_id]))
+            count = min(max_moved, shortages[receiver], surplus)
+            self._move_idle_machines(shard, receiver, count)
 
-    def _move_idle_machines(self, shard: Shard, to: str, number: int) -> None:
-        idle = [m for m in shard.machines.values() if m.usable and m.empty]
+    def _move_idle_machines(self, shard: Shard, receiver: str, count: int) -> None:
+        """Ask for up to `count` idle machines to be moved; none of them is placed on any more."""
+        idle = [machine for machine in shard.machines.values() if machine.usable and machine.empty]
         # Spot machines first: jobs that may not use them go where the others are, and would find
-        # these scattered over blocks, each with room that none of the others' jobs can have.
-        idle.sort(key=lambda m: (m.entry.spot, m.scale_in.idle_since or 0.0), reverse=True)
-        for machine in idle[:number]:
+        # these scattered over shards, each with room that none of the others' jobs can have.
+        idle.sort(
+            key=lambda machine: (machine.entry.spot, machine.scale_in.idle_since or 0.0),
+            reverse=True,
+        )
+        for machine in idle[:count]:
+            machine_id = machine.machine_id
             log.info(
-                "machine handed over machine=%s from=%s to=%s",
-                machine.machine_id,
+                "machine moving to another shard machine=%s shard=%s to=%s",
+                machine_id,
                 shard.shard_id,
-                to,
+                receiver,
             )
             machine.scale_in.leaving_shard = True
-            shard.occupancy_due[machine.machine_id] = None
-            shard.bookings.pop(machine.machine_id, None)
+            shard.occupancy_due[machine_id] = None
+            shard.bookings.pop(machine_id, None)
             shard.needs_replan = True
-            self.writer.move(shard.shard_id, machine.machine_id, to)
+            self.writer.move(shard.shard_id, machine_id, receiver)
--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -120,7 +120,7 @@
         shard = agent.shard
         agent.lease_expiry.expire(self.watch.fresh_at)
         agent.stop_broken_gangs()
-        self.balancer.hand_off_if_unheard(shard)
+        self.balancer.hand_off_if_unreached(shard)
         if occupancy_due:
             self.occupancy.update_all(shard)
         elif shard.occupancy_due:
@@ -136,13 +136,13 @@
         """Have the shard's record written anew where it should be, changed or not."""
         shard = agent.shard
         if shard.previous_owners_expired():
-            self.writer.sole_owners.add(shard.shard_id)
+            self.writer.drop_previous_owners(shard.shard_id)
         outdated = (
             self.context.record_format.compact
             and shard.shard_id in self.registry.first_format_shards
         )
         if shard.needs_new_revision or outdated:
-            self.writer.needs_new_revision.add(shard.shard_id)
+            self.writer.request_new_revision(shard.shard_id)
 
     def _scale(self, agent: ShardAgent, leading: bool) -> None:
         if agent.shard.unreconciled and leading:
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -33,7 +33,8 @@
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
-from fallpulley.records.registry import LEADER_KEY, SHARD_PREFIX, Registry
+from fallpulley.records.keys import LEADER_KEY, SHARD_PREFIX
+from fallpulley.records.registry import Registry
 from fallpulley.records.shard_record import PreviousOwner
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.shards.shard import Shard
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -176,7 +176,7 @@
                     for n in range(rental.count)
                 ]
         # Granted, but not in the record yet.
-        for machine_id, entry in self.writer.adding.get(shard.shard_id, {}).items():
+        for machine_id, entry in self.writer.machines_being_added(shard.shard_id).items():
             machine_type = machine_types.get(entry.machine_type)
             if machine_type is not None and machine_id not in shard.machines:
                 supply.append(
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -23,7 +23,8 @@
     RentalRequest,
     RentalResponse,
 )
-from fallpulley.records.registry import CATALOG_KEY, Registry
+from fallpulley.records.keys import CATALOG_KEY
+from fallpulley.records.registry import Registry
 from fallpulley.records.shard_record import MachineEntry
 from fallpulley.records.writer import ShardWriter
 from fallpulley.state.client import (
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -24,8 +24,9 @@
     parse_submission,
 )
 from fallpulley.jobs.pipelines import DependencyNode, Pipelines
-from fallpulley.records.registry import TEAM_PREFIX, Registry
-from fallpulley.records.shard_record import TeamShard
+from fallpulley.records.keys import TEAM_PREFIX
+from fallpulley.records.messages import TeamShard
+from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
 from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
--- a/fallpulley/membership/__init__.py
+++ b/fallpulley/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Who is there, who leads, and which controller owns which shard."""
--- a/fallpulley/membership/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -12,14 +12,10 @@
 from fallpulley.context import ControllerContext
 from fallpulley.membership.session import SessionLease
 from fallpulley.records.formats import NEWEST_FORMAT
-from fallpulley.records.registry import (
-    FORMAT_KEY,
-    LEADER_KEY,
-    SESSION_PREFIX,
-    SHARD_PREFIX,
-    Registry,
-)
-from fallpulley.records.shard_record import FormatMarker, PreviousOwner, Session, ShardRecord
+from fallpulley.records.keys import FORMAT_KEY, LEADER_KEY, SESSION_PREFIX, SHARD_PREFIX
+from fallpulley.records.messages import FormatMarker, Session
+from fallpulley.records.registry import Registry
+from fallpulley.records.shard_record import PreviousOwner, ShardRecord
 from fallpulley.state.client import Change, RequestPriority, Write
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/membership/session.py
+++ b/fallpulley/membership/session.py
@@ -9,7 +9,7 @@
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.records.formats import NEWEST_FORMAT
-from fallpulley.records.shard_record import LeaseGrant, Session
+from fallpulley.records.messages import LeaseGrant, Session
 from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
--- /dev/null
+++ b/fallpulley/records/layout.py
@@ -0,0 +1,102 @@
+"""The values of a shard's record: a single one, or a header and pages of machines."""
+
+from __future__ import annotations
+
+from fallpulley.records.keys import SHARD_PREFIX, page_key
+from fallpulley.records.machine_encoding import Machines, without_addresses
+from fallpulley.records.shard_change import RecordLimits, RecordUpdate
+from fallpulley.records.shard_record import MachinePage, ShardRecord, encode_page
+from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change
+
+# A record with more machines is laid out in pages: every controller decodes all of a value at each
+# of its changes, which takes 2 ms of a whole core for as many, and 20 ms on a tenth of one.
+MAX_SINGLE_VALUE_MACHINES = 1024
+# Machines in one page at the most.
+MAX_PAGE_MACHINES = 512
+# A shard with no more machines than this has them in its record again.
+MAX_MERGED_MACHINES = 256
+
+
+def encode_single_value(record: ShardRecord, machines: Machines, limits: RecordLimits) -> bytes:
+    """The record with these machines as one value, larger than allowed if they do not fit.
+
+    Addresses are left out for want of room only where pages cannot make it.
+    """
+    changed = ShardRecord(record.owner, record.incarnation, machines, record.previous_owners)
+    max_bytes = MAX_TRANSACTION_BYTES if limits.paged else limits.value_bytes
+    value = changed.encode(limits.compact, max_bytes)
+    if len(value) > limits.value_bytes and len(machines) == 1:
+        value = changed.encode(limits.compact, limits.value_bytes)
+    return value
+
+
+def header_change(shard_id: str, record: ShardRecord, pages: dict[int, MachinePage]) -> Change:
+    """Write the record as a header of these pages."""
+    header = ShardRecord(record.owner, record.incarnation, {}, record.previous_owners, True, pages)
+    return Change(SHARD_PREFIX + shard_id, header.encode(True, 0))
+
+
+def page_change(shard_id: str, number: int, page: MachinePage, limits: RecordLimits) -> Change:
+    """Write a page; addresses are left out only where it could not be written with them."""
+    value = encode_page(page)
+    if len(value) > limits.value_bytes:
+        value = encode_page(MachinePage(page.version, without_addresses(page.machines)))
+    return Change(page_key(shard_id, number), value)
+
+
+def is_too_large(page: MachinePage, limits: RecordLimits) -> bool:
+    """No value holds the page with its addresses."""
+    return len(encode_page(page)) > limits.value_bytes
+
+
+def split_into_pages(
+    shard_id: str, record: ShardRecord, mod_revision: int, limits: RecordLimits
+) -> RecordUpdate:
+    """The record's machines in pages, neighbours together; requests wait for the next update."""
+    machine_ids = sorted(record.machines)
+    max_pages = max(1, limits.max_changes - 1)
+    count = min(max_pages, max(2, -(-len(machine_ids) // MAX_PAGE_MACHINES)))
+    pages = _pages_of(record, machine_ids, count, mod_revision)
+    while count < max_pages and any(is_too_large(page, limits) for page in pages.values()):
+        count += 1
+        pages = _pages_of(record, machine_ids, count, mod_revision)
+    changes = [header_change(shard_id, record, pages)]
+    changes += [page_change(shard_id, number, page, limits) for number, page in pages.items()]
+    return RecordUpdate(changes, [], [], True)
+
+
+def _pages_of(
+    record: ShardRecord, machine_ids: list[str], count: int, mod_revision: int
+) -> dict[int, MachinePage]:
+    """At most `count` pages of equal size, by number."""
+    size = -(-len(machine_ids) // count)
+    return {
+        number: MachinePage(
+            mod_revision,
+            {
+                machine_id: record.machines[machine_id]
+                for machine_id in machine_ids[start : start + size]
+            },
+        )
+        for number, start in enumerate(range(0, len(machine_ids), size))
+    }
+
+
+def merge_pages(shard_id: str, record: ShardRecord, limits: RecordLimits) -> RecordUpdate:
+    """The machines of all pages in the record again; requests wait for the next update.
+
+    A fleet that has shrunk pays for one value a change again.
+    """
+    value = encode_single_value(record, record.machines, limits)
+    changes = [Change(SHARD_PREFIX + shard_id, value)]
+    changes += [Change(page_key(shard_id, number), None) for number in record.pages]
+    return RecordUpdate(changes, [], [], True)
+
+
+def can_merge_pages(record: ShardRecord, added: int, limits: RecordLimits) -> bool:
+    """With so many machines added the record would still be well below the size of one value."""
+    if len(record.machines) + added > MAX_MERGED_MACHINES:
+        return False
+    if len(record.pages) + 1 > limits.max_changes:
+        return False
+    return len(encode_single_value(record, record.machines, limits)) * 2 <= limits.value_bytes
--- a/fallpulley/records/machine_encoding.py
+++ b/fallpulley/records/machine_encoding.py
@@ -1,7 +1,7 @@
-"""Machines of a block as the bytes of a stored value, and back.
+"""Machines of a shard as the bytes of a stored value, and back.
 
-Two encodings: by groups of names and addresses as text (format 1), and by runs of numbered names
-whose addresses go in step (format 2 on).
+Two encodings: groups of ids and addresses as text (first format), and runs of numbered ids whose
+addresses go in step with the numbers (compact format on).
 """
 
 from __future__ import annotations
@@ -9,23 +9,24 @@
 import re
 import zlib
 from functools import lru_cache
+from typing import NamedTuple
 
 import msgspec
 
 
 class MachineEntry(msgspec.Struct, frozen=True):
-    """A machine of a block, and what is known of it for ever."""
+    """A machine of a shard as its record has it."""
 
     address: str
     machine_type: str
     zone: str
     spot: bool
-    # It may hold tasks. Written before the first `run` and taken back once the machine is
-    # proved empty, so that a successor need not wait for machines that cannot hold any.
+    # It may hold tasks. Written before the first START and taken back once the machine is
+    # confirmed empty, so that a new owner need not wait for machines that cannot hold any.
     occupied: bool = False
 
     def with_address(self, address: str) -> MachineEntry:
-        """The same machine at an address."""
+        """The same machine at another address."""
         return MachineEntry(address, self.machine_type, self.zone, self.spot, self.occupied)
 
 
@@ -33,39 +34,49 @@
 
 
 def without_addresses(machines: Machines) -> Machines:
-    """The same machines; reports and the cloud's list tell their addresses."""
+    """The same machines; their addresses come with heartbeats and the cloud's list."""
     return {
         machine_id: MachineEntry("", entry.machine_type, entry.zone, entry.spot, entry.occupied)
         for machine_id, entry in machines.items()
     }
 
 
-# -- by groups ---------------------------------------------------------------------------------
+# -- groups: the first format --------------------------------------------------------------------
+
+# Machine type, zone, spot, occupied: what the machines of one group have in common.
+_Traits = tuple[str, str, bool, bool]
 
 
 class _Group(msgspec.Struct, array_like=True):
+    """Machines with the same traits."""
+
     machine_type: str
     zone: str
     spot: bool
     occupied: bool
-    addresses: dict[str, str]  # host -> address
+    addresses: dict[str, str]  # by machine
 
 
 def pack_groups(machines: Machines) -> bytes:
-    """Machines of one kind together, in order of their names, and packed: names and addresses
-    of neighbours are nearly the same, so a thousand machines take some 7 KiB of a value. As
-    plain text 16 KiB held 368, and a larger fleet had to be split into blocks."""
-    groups: dict[tuple[str, str, bool, bool], dict[str, str]] = {}
+    """Machines with the same traits together, in order of their ids, and compressed.
+
+    Ids and addresses of neighbours are nearly the same, so a thousand machines take some 7 KiB of
+    a value. As plain text 16 KiB held 368, and a larger fleet had to be split into shards.
+    """
+    groups: dict[_Traits, dict[str, str]] = {}
     for machine_id, entry in sorted(machines.items()):
-        group = (entry.machine_type, entry.zone, entry.spot, entry.occupied)
-        groups.setdefault(group, {})[machine_id] = entry.address
-    wire = [_Group(*group, machine_ids) for group, machine_ids in groups.items()]
-    return zlib.compress(msgspec.json.encode(wire))
+        traits = (entry.machine_type, entry.zone, entry.spot, entry.occupied)
+        groups.setdefault(traits, {})[machine_id] = entry.address
+    stored = [_Group(*traits, addresses) for traits, addresses in groups.items()]
+    return zlib.compress(msgspec.json.encode(stored))
 
 
 def unpack_groups(packed: bytes) -> Machines:
-    """Raises `msgspec.MsgspecError` when broken."""
-    groups = msgspec.json.decode(_inflate(packed), type=list[_Group])
+    """Machines from the bytes of `pack_groups`.
+
+    Raises `msgspec.MsgspecError` if they are malformed.
+    """
+    groups = msgspec.json.decode(_decompress(packed), type=list[_Group])
     return {
         machine_id: MachineEntry(
             address, group.machine_type, group.zone, group.spot, group.occupied
@@ -75,104 +86,123 @@
     }
 
 
-def _inflate(packed: bytes) -> bytes:
+def _decompress(packed: bytes) -> bytes:
     try:
         return zlib.decompress(packed)
     except zlib.error as error:
         raise msgspec.DecodeError(str(error)) from None
 
 
-# -- by runs -----------------------------------------------------------------------------------
+# -- runs: the compact format --------------------------------------------------------------------
 
 
 class _Run(msgspec.Struct, array_like=True):
-    """Machines whose names are numbered and whose addresses go in step with the numbers."""
+    """Machines whose ids are numbered and whose addresses go in step with the numbers."""
 
     prefix: str
-    width: int
-    offset: int  # of the address, as a number, from the name's
+    width: int  # digits of the number in an id
+    offset: int  # from an id's number to the machine's IP address as a number
     port: int  # 0: addresses not known yet
-    steps: list[int]  # from one name's number to the next
+    steps: list[int]  # from one id's number to the next
 
 
-class _Kind(msgspec.Struct, array_like=True):
+class _RunGroup(msgspec.Struct, array_like=True):
+    """Machines with the same traits, as runs where their ids and addresses allow it."""
+
     machine_type: str
     zone: str
     spot: bool
     occupied: bool
     runs: list[_Run]
-    others: dict[str, str]  # host -> address, where no run describes it
+    others: dict[str, str]  # machine -> address, where no run describes it
+
 
+class _RunPosition(NamedTuple):
+    """Which run describes a machine, and its number there."""
+
+    prefix: str
+    width: int
+    offset: int
+    port: int
+    number: int
 
-_NUMBERED = re.compile(r"(.*?)([0-9]{1,15})", re.DOTALL)
-_ADDRESS = re.compile(r"([0-9]{1,3})\.([0-9]{1,3})\.([0-9]{1,3})\.([0-9]{1,3}):([0-9]{1,5})")
 
+_NUMBERED_ID = re.compile(r"(.*?)([0-9]{1,15})", re.DOTALL)
+_IP_AND_PORT = re.compile(r"([0-9]{1,3})\.([0-9]{1,3})\.([0-9]{1,3})\.([0-9]{1,3}):([0-9]{1,5})")
 
-def _host(prefix: str, width: int, number: int) -> str:
+
+def _format_machine_id(prefix: str, width: int, number: int) -> str:
     return f"{prefix}{number:0{width}}"
 
 
-def _address(number: int, port: int) -> str:
-    return f"{number >> 24}.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:{port}"
+def _format_address(ip: int, port: int) -> str:
+    return f"{ip >> 24}.{ip >> 16 & 255}.{ip >> 8 & 255}.{ip & 255}:{port}"
 
 
-# A part of a record is encoded by its holder alone, a few parts again and again.
+# A page of a record is encoded by its shard's owner alone, a few pages again and again.
 @lru_cache(maxsize=4096)
-def _place(machine_id: str, address: str) -> tuple[str, int, int, int, int] | None:
-    """Prefix, width, offset, port and number of a machine; None where no run can describe it."""
-    name = _NUMBERED.fullmatch(machine_id)
-    if name is None:
+def _run_position(machine_id: str, address: str) -> _RunPosition | None:
+    """Where runs describe a machine; None where none can."""
+    numbered = _NUMBERED_ID.fullmatch(machine_id)
+    if numbered is None:
         return None
-    number, width = int(name[2]), len(name[2])
+    prefix, digits = numbered[1], numbered[2]
+    number, width = int(digits), len(digits)
     if not address:
-        return name[1], width, 0, 0, number
-    found = _ADDRESS.fullmatch(address)
-    if found is None:
+        return _RunPosition(prefix, width, 0, 0, number)
+    parsed = _IP_AND_PORT.fullmatch(address)
+    if parsed is None:
         return None
     ip = 0
-    for part in found.groups()[:4]:
-        ip = ip << 8 | int(part)
-    port = int(found[5])
-    if not port or _address(ip, port) != address:
+    for octet in parsed.groups()[:4]:
+        ip = ip << 8 | int(octet)
+    port = int(parsed[5])
+    if not port or _format_address(ip, port) != address:
         return None
-    return name[1], width, ip - number, port, number
+    return _RunPosition(prefix, width, ip - number, port, number)
 
 
 def pack_runs(machines: Machines) -> bytes:
-    """Neighbours are rented together: most steps are 1, and a thousand machines take about 1 KiB
-    of a value, where groups took 7."""
-    groups: dict[tuple[str, str, bool, bool], _Kind] = {}
-    numbers: dict[tuple[object, ...], list[int]] = {}
+    """Machines with the same traits together, neighbours as runs, and compressed.
+
+    Neighbours are rented together: most steps are 1, and a thousand machines take about 1 KiB
+    of a value, where groups took 7.
+    """
+    groups: dict[_Traits, _RunGroup] = {}
+    numbers_by_run: dict[tuple[object, ...], list[int]] = {}
     for machine_id, entry in machines.items():
-        key = (entry.machine_type, entry.zone, entry.spot, entry.occupied)
-        group = groups.get(key)
+        traits = (entry.machine_type, entry.zone, entry.spot, entry.occupied)
+        group = groups.get(traits)
         if group is None:
-            group = groups[key] = _Kind(*key, [], {})
-        place = _place(machine_id, entry.address)
-        if place is None:
+            group = groups[traits] = _RunGroup(*traits, [], {})
+        position = _run_position(machine_id, entry.address)
+        if position is None:
             group.others[machine_id] = entry.address
             continue
-        run = (key, *place[:4])
-        found = numbers.get(run)
-        if found is None:
-            found = numbers[run] = []
-            group.runs.append(_Run(*place[:4], found))
-        found.append(place[4])
-    for found in numbers.values():
-        _to_steps(found)
+        run = (traits, *position[:4])
+        numbers = numbers_by_run.get(run)
+        if numbers is None:
+            numbers = numbers_by_run[run] = []
+            group.runs.append(_Run(*position[:4], numbers))
+        numbers.append(position.number)
+    for numbers in numbers_by_run.values():
+        _replace_by_steps(numbers)
     return zlib.compress(msgspec.json.encode(list(groups.values())))
 
 
-def _to_steps(numbers: list[int]) -> None:
+def _replace_by_steps(numbers: list[int]) -> None:
+    """Sort a run's numbers and replace each by its distance from the one before, in place."""
     numbers.sort()
-    last = 0
-    for at, number in enumerate(numbers):
-        numbers[at] = number - last
-        last = number
+    previous = 0
+    for index, number in enumerate(numbers):
+        numbers[index] = number - previous
+        previous = number
 
 
-_What = tuple[str, str, bool, bool]
-_Key = tuple[str, int, int, int, int, _What]
+# Prefix, width, number, IP address, port, traits: what a machine of a run was decoded from.
+_EntryKey = tuple[str, int, int, int, int, _Traits]
+# A machine's id and its entry.
+_CachedEntry = tuple[str, MachineEntry]
 
 
 class EntryCache:
@@ -184,30 +214,30 @@
     the fleet.
     """
 
-    def __init__(self, least: int) -> None:
-        self.size = least
-        self._new: dict[_Key, tuple[str, MachineEntry]] = {}
-        self._old: dict[_Key, tuple[str, MachineEntry]] = {}
+    def __init__(self, min_size: int) -> None:
+        self.size = min_size
+        self._newer: dict[_EntryKey, _CachedEntry] = {}
+        self._older: dict[_EntryKey, _CachedEntry] = {}
 
     def fit(self, machines: int) -> None:
         """Hold at least as many entries as there are machines."""
         self.size = max(self.size, machines)
 
     def get(
-        self, prefix: str, width: int, number: int, ip: int, port: int, what: _What
-    ) -> tuple[str, MachineEntry]:
-        """Name and entry of a machine of a run."""
-        key = (prefix, width, number, ip, port, what)
-        found = self._new.get(key)
+        self, prefix: str, width: int, number: int, ip: int, port: int, traits: _Traits
+    ) -> _CachedEntry:
+        """Id and entry of a machine of a run, made if it is not in the cache."""
+        key = (prefix, width, number, ip, port, traits)
+        found = self._newer.get(key)
         if found is not None:
             return found
-        found = self._old.get(key)
+        found = self._older.get(key)
         if found is None:
-            address = _address(ip, port) if port else ""
-            found = (_host(prefix, width, number), MachineEntry(address, *what))
-        if len(self._new) >= self.size:
-            self._old, self._new = self._new, {}
-        self._new[key] = found
+            address = _format_address(ip, port) if port else ""
+            found = (_format_machine_id(prefix, width, number), MachineEntry(address, *traits))
+        if len(self._newer) >= self.size:
+            self._older, self._newer = self._newer, {}
+        self._newer[key] = found
         return found
 
 
@@ -215,20 +245,23 @@
 
 
 def unpack_runs(packed: bytes) -> Machines:
-    """Raises `msgspec.MsgspecError` when broken."""
-    groups = msgspec.json.decode(_inflate(packed), type=list[_Kind])
+    """Machines from the bytes of `pack_runs`.
+
+    Raises `msgspec.MsgspecError` if they are malformed.
+    """
+    groups = msgspec.json.decode(_decompress(packed), type=list[_RunGroup])
     machines: Machines = {}
     for group in groups:
-        what = (group.machine_type, group.zone, group.spot, group.occupied)
+        traits = (group.machine_type, group.zone, group.spot, group.occupied)
         for run in group.runs:
             number = 0
             for step in run.steps:
                 number += step
                 machine_id, entry = entry_cache.get(
-                    run.prefix, run.width, number, run.offset + number, run.port, what
+                    run.prefix, run.width, number, run.offset + number, run.port, traits
                 )
                 machines[machine_id] = entry
         for machine_id, address in group.others.items():
-            machines[machine_id] = MachineEntry(address, *what)
+            machines[machine_id] = MachineEntry(address, *traits)
     entry_cache.fit(len(machines))
     return machines
--- /dev/null
+++ b/fallpulley/records/page_assembly.py
@@ -0,0 +1,64 @@
+"""Shard records whose machines stand in pages, assembled from the values as they arrive."""
+
+from __future__ import annotations
+
+from fallpulley.records.machine_encoding import Machines
+from fallpulley.records.shard_record import MachinePage, ShardHeader, ShardRecord
+from fallpulley.records.versioned import Versioned
+
+
+class PageAssembly:
+    """The newest headers and pages as seen, whether or not they belong together yet."""
+
+    def __init__(self) -> None:
+        self._headers: dict[str, Versioned[ShardHeader]] = {}
+        self._pages: dict[str, dict[int, MachinePage]] = {}  # shard -> its pages by number
+
+    def set_header(self, shard_id: str, header: ShardHeader, mod_revision: int) -> None:
+        """Store a header that names pages."""
+        self._headers[shard_id] = Versioned(header, mod_revision)
+
+    def remove_header(self, shard_id: str) -> None:
+        """The shard is gone, or its machines stand in its record."""
+        self._headers.pop(shard_id, None)
+
+    def set_page(self, shard_id: str, number: int, page: MachinePage | None) -> None:
+        """Store a page, or forget it."""
+        pages = self._pages.setdefault(shard_id, {})
+        if page is None:
+            pages.pop(number, None)
+        else:
+            pages[number] = page
+
+    def assemble(self, shard_id: str, published_revision: int) -> Versioned[ShardRecord] | None:
+        """The record with its machines, if it is newer than the published one and its pages
+        belong to it.
+
+        One transaction writes header and pages, but they arrive one after the other, and the
+        responses of a listing may lie a change apart.
+        """
+        entry = self._headers.get(shard_id)
+        if entry is None or published_revision >= entry.mod_revision:
+            return None
+        pages = self._matching_pages(shard_id, entry.value)
+        if pages is None:
+            return None
+        machines: Machines = {}
+        for page in pages.values():
+            machines.update(page.machines)
+        header = entry.value.record
+        record = ShardRecord(
+            header.owner, header.incarnation, machines, header.previous_owners, True, pages
+        )
+        return Versioned(record, entry.mod_revision)
+
+    def _matching_pages(self, shard_id: str, header: ShardHeader) -> dict[int, MachinePage] | None:
+        """The pages that a header names; None while any of them is of another version."""
+        stored = self._pages.get(shard_id, {})
+        matching: dict[int, MachinePage] = {}
+        for number, version in header.page_versions.items():
+            page = stored.get(number)
+            if page is None or page.version != version:
+                return None
+            matching[number] = page
+        return matching
--- /dev/null
+++ b/fallpulley/records/transactions.py
@@ -0,0 +1,142 @@
+"""What one transaction changes of a shard's record, and of another's that gets its machines."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import NamedTuple
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.records.keys import SHARD_PREFIX
+from fallpulley.records.pending_changes import PendingChanges
+from fallpulley.records.record_update import update_record
+from fallpulley.records.registry import Registry
+from fallpulley.records.release_records import releasable, release_changes
+from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
+from fallpulley.records.shard_record import MachineEntry, Machines, ShardRecord
+from fallpulley.records.versioned import Versioned
+from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change
+
+# Beside a shard's own values: the record of machines to be released.
+RELEASE_CHANGES = 1
+# A record and one page of it: what the smallest transaction holds twice.
+MIN_CHANGES = 2
+
+
+class ShardTransaction(NamedTuple):
+    """Changes that are applied together if the keys are still at the expected revisions."""
+
+    changes: list[Change]
+    conditions: dict[str, int]  # key -> expected revision
+
+
+class TransactionBuilder:
+    """Lays out pending changes as transactions within the limits of the state service."""
+
+    def __init__(
+        self, context: ControllerContext, registry: Registry, addresses: Mapping[str, str]
+    ) -> None:
+        self._record_format = context.record_format
+        self._registry = registry
+        self._addresses = addresses
+
+    def build_change(
+        self, shard_id: str, shard: Versioned[ShardRecord], pending: PendingChanges
+    ) -> ShardTransaction:
+        """Machines that are added or removed, and occupancy flags.
+
+        In formats without pages, machines for which there is no room are not pending any more.
+        """
+        removed = releasable(pending.removing, self._record_format)
+        change = ShardChange(pending.adding, removed, pending.occupancy, self._addresses)
+        update = self._largest_update(shard_id, shard, change)
+        if not self._record_format.paged:
+            # Left to the next list, which grants them to a shard with room.
+            for machine_id in pending.adding.keys() - set(update.added):
+                del pending.adding[machine_id]
+        releases = release_changes(update.removed, self._record_format)
+        return ShardTransaction(
+            update.changes + releases, {SHARD_PREFIX + shard_id: shard.mod_revision}
+        )
+
+    def build_move(
+        self, shard_id: str, shard: Versioned[ShardRecord], pending: PendingChanges
+    ) -> ShardTransaction | None:
+        """Move machines to the first shard that is to get any; None if none can be moved now.
+
+        Both records change at one revision, so both shards' tokens rise above all that came
+        before. Moves that no transaction can hold are not pending any more: the machines stay.
+        """
+        receiver_id = next(iter(pending.moving.values()), None)
+        receiver = self._registry.shards.get(receiver_id) if receiver_id is not None else None
+        if receiver_id is None or receiver is None:
+            return None
+        max_changes = self._record_format.txn_ops // 2
+        machines = _machines_moving_to(receiver_id, shard.value, pending)
+        added = self._update(receiver_id, receiver, ShardChange(machines), max_changes)
+        removal = ShardChange({}, added.added, pending.occupancy, self._addresses)
+        removed = self._update(shard_id, shard, removal, max_changes)
+        if set(removed.removed) != set(added.added):
+            machines = {machine_id: machines[machine_id] for machine_id in removed.removed}
+            added = self._update(receiver_id, receiver, ShardChange(machines), max_changes)
+        if not _can_commit_together(removed, added):
+            pending.moving.clear()
+            return None
+        conditions = {
+            SHARD_PREFIX + shard_id: shard.mod_revision,
+            SHARD_PREFIX + receiver_id: receiver.mod_revision,
+        }
+        return ShardTransaction(removed.changes + added.changes, conditions)
+
+    def _largest_update(
+        self, shard_id: str, shard: Versioned[ShardRecord], change: ShardChange
+    ) -> RecordUpdate:
+        """As many values as one transaction can hold by their number and by their bytes."""
+        max_changes = self._record_format.txn_ops - RELEASE_CHANGES
+        update = self._update(shard_id, shard, change, max_changes)
+        while update.size > MAX_TRANSACTION_BYTES and max_changes > MIN_CHANGES:
+            max_changes = max(MIN_CHANGES, max_changes // 2)
+            update = self._update(shard_id, shard, change, max_changes)
+        return update
+
+    def _update(
+        self,
+        shard_id: str,
+        shard: Versioned[ShardRecord],
+        change: ShardChange,
+        max_changes: int,
+    ) -> RecordUpdate:
+        limits = RecordLimits(
+            self._record_format.compact,
+            self._record_format.paged,
+            self._record_format.value_bytes,
+            max_changes,
+        )
+        return update_record(shard_id, shard.value, shard.mod_revision, change, limits)
+
+
+def without_previous_owners(shard: Versioned[ShardRecord]) -> Versioned[ShardRecord]:
+    """The record once its previous owners answer no machine any more."""
+    return Versioned(msgspec.structs.replace(shard.value, previous_owners=[]), shard.mod_revision)
+
+
+def _machines_moving_to(shard_id: str, record: ShardRecord, pending: PendingChanges) -> Machines:
+    return {
+        machine_id: _unoccupied(record.machines[machine_id])
+        for machine_id, receiver_id in pending.moving.items()
+        if receiver_id == shard_id and machine_id in record.machines
+    }
+
+
+def _unoccupied(entry: MachineEntry) -> MachineEntry:
+    return MachineEntry(entry.address, entry.machine_type, entry.zone, entry.spot)
+
+
+def _can_commit_together(removed: RecordUpdate, added: RecordUpdate) -> bool:
+    """Both sides move the same machines within one transaction, or one makes room for a move."""
+    if set(removed.removed) != set(added.added):
+        return False
+    if removed.size + added.size > MAX_TRANSACTION_BYTES:
+        return False
+    return bool(added.added) or added.changes_layout or removed.changes_layout
--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -39,9 +39,9 @@
             entry = shard.record.machines.get(machine_id)
             if machine is None or entry is None:
                 continue
-            marked = self.writer.occupancy.get(shard.shard_id, {}).get(machine_id, entry.occupied)
+            marked = self.writer.pending_occupancy(shard.shard_id).get(machine_id, entry.occupied)
             self._update_machine(shard, machine, marked)
-            if machine.scale_in.leaving_shard and not self.writer.leaving(
+            if machine.scale_in.leaving_shard and not self.writer.is_leaving(
                 shard.shard_id, machine_id
             ):
                 machine.scale_in.leaving_shard = False  # its move was called off
@@ -50,8 +50,8 @@
             if used != machine.marked_occupied:
                 machine.marked_occupied = used
                 shard.needs_replan = True
-            if machine.scale_in.leaving_shard or machine_id in self.writer.occupancy.get(
-                shard.shard_id, ()
+            if machine.scale_in.leaving_shard or machine_id in self.writer.pending_occupancy(
+                shard.shard_id
             ):
                 shard.occupancy_due[machine_id] = None
 
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -13,7 +13,8 @@
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
-from fallpulley.records.registry import SHARES_KEY, Registry
+from fallpulley.records.keys import SHARES_KEY
+from fallpulley.records.registry import Registry
 from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.shards.shard import Shard
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -19,7 +19,7 @@
     world, uid = busy(pieces=4, seconds=60.0, expect_s=60.0)
     world.run(5.0)
     looks = ticks = 0
-    mark, tick = OccupancyFlags.update_all, ShardBalancer.hand_off_if_unheard
+    mark, tick = OccupancyFlags.update_all, ShardBalancer.hand_off_if_unreached
 
     def counted_mark(self: OccupancyFlags, held: object) -> None:
         nonlocal looks
@@ -32,7 +32,7 @@
         tick(self, held)  # type: ignore[arg-type]
 
     monkeypatch.setattr(OccupancyFlags, "update_all", counted_mark)
-    monkeypatch.setattr(ShardBalancer, "hand_off_if_unheard", counted_tick)
+    monkeypatch.setattr(ShardBalancer, "hand_off_if_unreached", counted_tick)
     world.run(10.0)
     assert len(world.running(uid)) == 4
     assert ticks > 30 and looks <= ticks / 5
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,6 +9,7 @@
 from fallpulley.balancing.shard_sizes import machines_per_shard
 from fallpulley.effects import RESPONSE_TOO_LONG, Response
 from fallpulley.mesh.task_counts import TaskCountRotation
+from fallpulley.records.release_records import releasable, release_changes
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.fencing import Fencing
 from fallpulley.shards.lease_watch import LeaseWatch
@@ -260,8 +261,8 @@
 def test_machines_with_the_longest_names_are_released_within_the_smallest_values() -> None:
     world = World(2, state=STATE_FACTS | {"next": SMALLEST})
     world.run(5.0)
-    writer = world.controllers[world.holder()].parts.writer
+    record_format = world.controllers[world.holder()].parts.context.record_format
     hosts = {f"{number:0190}" for number in range(100)}
-    out = writer._releasable(hosts)
-    (change,) = writer._release_record(out)
+    out = releasable(hosts, record_format)
+    (change,) = release_changes(out, record_format)
     assert out and set(out) < hosts and len(change.value or b"") < 0.5 * 2048
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,7 +22,8 @@
     parse_chunk_name,
 )
 from fallpulley.mesh import messages as mesh
-from fallpulley.records.shard_record import MachineEntry, Session, ShardRecord, decode_shard
+from fallpulley.records.messages import Session
+from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard
 from tests.test_day_end import started
 from tests.test_edges import open_job
 from tests.test_stories import others, submit
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -20,9 +20,10 @@
 - `effects`: all, between the core and the network of one process.
 - `jobs`: `pipelines.Node`, `Outlook`, `Changes`, `service.Known`.
 - `placement`: all, in `plan`, `preempt` and `queue`.
-- `blocks`: `layout.RecordLimits`, `Wishes`, `Edit`. `BlockRecord`, `BlockHead`, `Part` and
-  `MachineEntry` are what block records are read into; `_BlockWire`, `_PartWire`, `_Group`, `_Run`
-  and `_Kind` are what stands in the bytes, and have goldens too.
+- `records`: `shard_change.RecordLimits`, `ShardChange`, `RecordUpdate`. `ShardRecord`,
+  `ShardHeader`, `MachinePage` and `MachineEntry` are what shard records are read into;
+  `_StoredShard`, `_StoredPage`, `_Group`, `_Run` and `_RunGroup` are what stands in the bytes, and
+  have goldens too.
 - `state.client`: `_Read`. `Change` and `Write` become the body of a transaction.
 - `workers`: `checkins.DeferredCheckin`, `ParkedCheckin`, `machine.Run`, `Outcome`.
 - `fleet.sizing`: all.
@@ -55,6 +56,7 @@
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh import messages as mesh
 from fallpulley.records import machine_encoding as packing
+from fallpulley.records import messages as records
 from fallpulley.records import shard_record as blocks
 from fallpulley.shares import messages as shares
 from fallpulley.standby import entries, replica
@@ -207,7 +209,7 @@
     "machine list": read_only(fleet.MachineList),
     # State service.
     "lease request": Kind(dict, json.loads, encode_lease_request),
-    "lease grant": read_only(blocks.LeaseGrant),
+    "lease grant": read_only(records.LeaseGrant),
     "transaction": Kind(list, decode_transaction, encode_transaction),
     "transaction answer": read_only(client._TransactionResponse),
     "page": read_only(view._Page),
@@ -215,10 +217,10 @@
     "progress page": read_only(persistence._Page),
     "progress pair": read_only(persistence._Item),
     # Stored records.
-    "session": read_and_written(blocks.Session),
-    "format mark": read_and_written(blocks.FormatMarker),
-    "team home": read_and_written(blocks.TeamShard),
-    "retired": read_and_written(blocks.ReleaseRecord),
+    "session": read_and_written(records.Session),
+    "format mark": read_and_written(records.FormatMarker),
+    "team home": read_and_written(records.TeamShard),
+    "retired": read_and_written(records.ReleaseRecord),
     "job record": read_and_written(jobs.JobRecord),
     "progress": read_and_written(jobs.Progress),
     "block, format 1": Kind(blocks.ShardHeader, blocks.decode_shard_header, encode_block(1)),
@@ -230,7 +232,7 @@
     "machines by groups": Kind(dict, packing.unpack_groups, packing.pack_groups),
     "machines by runs": Kind(dict, packing.unpack_runs, packing.pack_runs),
     "group of machines": read_and_written(packing._Group),
-    "runs of machines": read_and_written(packing._Kind),
+    "runs of machines": read_and_written(packing._RunGroup),
     "duty": read_and_written(duties.DutyRecord),
     "intent": read_and_written(duties.Intent),
     "share table": read_and_written(shares.ShareTable),
