--- /dev/null
+++ b/fallpulley/membership/format_agreement.py
@@ -0,0 +1,61 @@
+"""Agreement on the newest record format that every controller knows; the leader records it."""
+
+from __future__ import annotations
+
+import logging
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.membership.membership_writes import MembershipWrites
+from fallpulley.records.formats import NEWEST_FORMAT
+from fallpulley.records.keys import FORMAT_KEY
+from fallpulley.records.messages import FormatMarker
+from fallpulley.records.registry import Registry
+from fallpulley.state.client import Change, RequestPriority
+from fallpulley.state.watch_cache import WatchCache
+
+log = logging.getLogger(__name__)
+
+
+class FormatAgreement:
+    """Writes the format marker once all controllers have been seen to know a newer format."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        watch: WatchCache,
+        registry: Registry,
+        writes: MembershipWrites,
+        controller_ids: list[str],
+    ) -> None:
+        self._context = context
+        self._watch = watch
+        self._registry = registry
+        self._writes = writes
+        self._controller_ids = controller_ids  # of all controllers that are configured
+
+    def tick(self) -> None:
+        """Let records be written in a newer format if all know it; only the leader may ask.
+
+        There is no way back; nothing waits for it.
+        """
+        if self._registry.record_format >= NEWEST_FORMAT:
+            return
+        agreed = self._agreed_format()
+        if agreed <= self._registry.record_format or not self._writes.begin(FORMAT_KEY):
+            return
+        log.info("record format agreed format=%d", agreed)
+        conditions = {FORMAT_KEY: self._watch.mod_revision(FORMAT_KEY)}
+        change = Change(FORMAT_KEY, msgspec.json.encode(FormatMarker(agreed)))
+        self._writes.send(conditions, change, RequestPriority.ACCEPT)
+
+    def _agreed_format(self) -> int:
+        """The newest that all controllers have been seen to know: none comes back with a process
+        that does not."""
+        current = self._context.record_format.number
+        if len(self._controller_ids) < self._context.settings.facts.nodes:
+            return current
+        known = self._registry.known_formats
+        agreed = min(known.get(controller_id, 0) for controller_id in self._controller_ids)
+        return max(current, agreed)
--- /dev/null
+++ b/fallpulley/membership/leader_election.py
@@ -0,0 +1,84 @@
+"""Election of the leader: whoever writes the leader's key first, attached to its session."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from fallpulley.context import ControllerContext
+from fallpulley.membership.membership_writes import MembershipWrites
+from fallpulley.membership.session import SessionLease
+from fallpulley.records.keys import LEADER_KEY
+from fallpulley.records.registry import Registry
+from fallpulley.state.client import Change
+from fallpulley.state.watch_cache import WatchCache
+
+
+class ElectionPolicy(Protocol):
+    """What the election asks of others."""
+
+    def hold_off_s(self) -> float:
+        """How long to leave a free leadership to others, in seconds."""
+
+
+class LeaderElection:
+    """Claims a free leadership. The leader's key ends with the session of the controller."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        watch: WatchCache,
+        registry: Registry,
+        session: SessionLease,
+        policy: ElectionPolicy,
+        writes: MembershipWrites,
+    ) -> None:
+        self._context = context
+        self._watch = watch
+        self._registry = registry
+        self._session = session
+        self._policy = policy
+        self._writes = writes
+        self._leaderless_since: float | None = None
+
+    @property
+    def term(self) -> int | None:
+        """The revision at which this process became leader, or None if it does not lead."""
+        leader = self._registry.leader
+        if (
+            leader is None
+            or leader.value.incarnation != self._context.incarnation
+            or not self._session.is_live()
+        ):
+            return None
+        return leader.mod_revision
+
+    def tick(self) -> None:
+        """Claim the leadership if it is free, or belongs to an older process of ours."""
+        if self._registry.leader is not None:
+            self._leaderless_since = None
+        elif self._leaderless_since is None:
+            self._leaderless_since = self._context.now
+        if self._older_process_leads() or self._is_free():
+            self._claim()
+
+    def _older_process_leads(self) -> bool:
+        leader = self._registry.leader
+        return leader is not None and (
+            leader.value.controller_id == self._context.controller_id
+            and leader.value.incarnation != self._context.incarnation
+        )
+
+    def _is_free(self) -> bool:
+        """Nobody leads, and whoever should go first has had the time."""
+        since = self._leaderless_since
+        return since is not None and self._context.now >= since + self._policy.hold_off_s()
+
+    def _claim(self) -> None:
+        if not self._writes.begin(LEADER_KEY):
+            return
+        conditions = {
+            LEADER_KEY: self._watch.mod_revision(LEADER_KEY),
+            self._session.key: self._watch.mod_revision(self._session.key),
+        }
+        change = Change(LEADER_KEY, self._session.encoded, self._session.lease_id)
+        self._writes.send(conditions, change)
--- a/fallpulley/membership/session.py
+++ b/fallpulley/membership/session.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import logging
+from http import HTTPStatus
 
 import msgspec
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.records.formats import NEWEST_FORMAT
+from fallpulley.records.keys import SESSION_PREFIX
 from fallpulley.records.messages import LeaseGrant, Session
 from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
@@ -17,23 +19,33 @@
 
 # Renewals within one session length: three may fail before the session ends.
 RENEWALS_PER_SESSION = 4
+CREATE_TIMEOUT_SECONDS = 1.0
+MIN_RENEWAL_TIMEOUT_SECONDS = 0.3
+# A write of the session's key that has not been sent by then is dropped.
+ATTACH_EXPIRY_SECONDS = 2.0
+# The state service's bounds of a lease's length.
+MIN_TTL_MS = 100
+MAX_TTL_MS = 600_000
 
 
 class SessionLease:
+    """Creates and renews the lease, and attaches the session's key to it."""
+
     def __init__(self, context: ControllerContext, watch: WatchCache) -> None:
         self.context = context
         self.watch = watch
-        self.key = f"live/session/{context.controller_id}"
+        self.key = SESSION_PREFIX + context.controller_id
         self.record_format = NEWEST_FORMAT  # the newest record format that this process knows
         self.lease_id: int | None = None
         self.attached = False  # the key is attached to our lease
         self.renewed_at = float("-inf")  # when the last successful renewal was sent
         self._renewal_in_flight = False
         self._next_renewal_at = float("-inf")
-        self._attaching = False
+        self._attach_in_flight = False
 
     @property
     def encoded(self) -> bytes:
+        """The value of our session's key."""
         return msgspec.json.encode(
             Session(self.context.controller_id, self.context.incarnation, self.record_format)
         )
@@ -43,6 +55,7 @@
         return self.attached and self.context.now < self.renewed_at + self.context.timing.session_s
 
     def tick(self) -> None:
+        """Create or renew the lease when its time has come, and attach the key."""
         if not self.watch.ready:
             return
         now = self.context.now
@@ -52,27 +65,38 @@
                 self._create()
             else:
                 self._renew(self.lease_id)
-        if self.lease_id is not None and not self.attached and not self._attaching:
+        if self.lease_id is not None and not self.attached and not self._attach_in_flight:
             self._attach(self.lease_id)
 
+    def discard(self) -> None:
+        """The lease has ended: begin a new one at the next tick."""
+        self.lease_id = None
+        self.attached = False
+        self._next_renewal_at = float("-inf")
+
     def _create(self) -> None:
         self._renewal_in_flight = True
-        life_ms = max(100, min(600_000, round(self.context.timing.session_s * 1000)))
-
-        def on_response(response: Response) -> None:
-            self._renewal_in_flight = False
-            if response.ok:
-                try:
-                    self.lease_id = msgspec.json.decode(response.body, type=LeaseGrant).lease_id
-                except msgspec.MsgspecError:
-                    return
-                self.renewed_at = response.sent_at
-
-        body = msgspec.json.encode({"life_ms": life_ms})
+        ttl_ms = round(self.context.timing.session_s * 1000)
+        body = msgspec.json.encode({"life_ms": max(MIN_TTL_MS, min(MAX_TTL_MS, ttl_ms))})
         self.context.state_client.request(
-            "/leases", on_response, RequestPriority.RENEWAL, "POST", body, 1.0
+            "/leases",
+            self._on_created,
+            RequestPriority.RENEWAL,
+            "POST",
+            body,
+            CREATE_TIMEOUT_SECONDS,
         )
 
+    def _on_created(self, response: Response) -> None:
+        self._renewal_in_flight = False
+        if not response.ok:
+            return
+        try:
+            self.lease_id = msgspec.json.decode(response.body, type=LeaseGrant).lease_id
+        except msgspec.MsgspecError:
+            return
+        self.renewed_at = response.sent_at
+
     def _renew(self, lease_id: int) -> None:
         self._renewal_in_flight = True
 
@@ -82,35 +106,36 @@
                 return
             if response.ok:
                 self.renewed_at = max(self.renewed_at, response.sent_at)
-            elif response.status == 404:
-                log.info("session lost tenure=%d", lease_id)
+            elif response.status == HTTPStatus.NOT_FOUND:
+                log.info("session lost lease=%d", lease_id)
                 self.discard()
 
-        timeout_s = max(0.3, self.context.timing.session_s / RENEWALS_PER_SESSION)
-        path = f"/leases/{lease_id}/extend"
+        interval_s = self.context.timing.session_s / RENEWALS_PER_SESSION
         self.context.state_client.request(
-            path, on_response, RequestPriority.RENEWAL, "POST", b"", timeout_s
+            f"/leases/{lease_id}/extend",
+            on_response,
+            RequestPriority.RENEWAL,
+            "POST",
+            b"",
+            max(MIN_RENEWAL_TIMEOUT_SECONDS, interval_s),
         )
 
-    def discard(self) -> None:
-        self.lease_id = None
-        self.attached = False
-        self._next_renewal_at = float("-inf")
-
     def _attach(self, lease_id: int) -> None:
-        self._attaching = True
+        self._attach_in_flight = True
 
         def on_result(result: WriteResult) -> None:
-            self._attaching = False
+            self._attach_in_flight = False
             if self.lease_id != lease_id:
                 return
             if result.committed:
                 self.attached = True
-                log.info("session open tenure=%d boot=%s", lease_id, self.context.incarnation)
+                log.info(
+                    "session opened lease=%d incarnation=%s", lease_id, self.context.incarnation
+                )
             elif result.invalid:
                 self.discard()
 
-        # An older process of this label has ended, or there would be no new one: its
+        # An older process of this controller has ended, or there would be no new one: its
         # session key may be replaced at once.
         self.context.state_client.write(
             Write(
@@ -119,6 +144,6 @@
                 on_result,
                 RequestPriority.RENEWAL,
                 isolated=True,
-                expires_at=self.context.now + 2.0,
+                expires_at=self.context.now + ATTACH_EXPIRY_SECONDS,
             )
         )
--- a/fallpulley/records/registry.py
+++ b/fallpulley/records/registry.py
@@ -4,8 +4,10 @@
 
 import logging
 
+import msgspec
+
 from fallpulley.fleet.messages import Catalog, MachineType
-from fallpulley.records.decoding import read_page, read_shard_header, read_struct
+from fallpulley.records.decoding import decode_or_none
 from fallpulley.records.keys import (
     CATALOG_KEY,
     FORMAT_KEY,
@@ -21,11 +23,22 @@
 from fallpulley.records.machine_shapes import MachineShape, ProcessorCounts
 from fallpulley.records.messages import FormatMarker, ReleaseRecord, Session, TeamShard
 from fallpulley.records.page_assembly import PageAssembly
-from fallpulley.records.shard_record import PreviousOwner, ShardRecord
+from fallpulley.records.shard_record import (
+    PreviousOwner,
+    ShardRecord,
+    decode_page,
+    decode_shard_header,
+)
 from fallpulley.records.versioned import Versioned
 
 log = logging.getLogger(__name__)
 
+_decode_session = msgspec.json.Decoder(Session).decode
+_decode_format_marker = msgspec.json.Decoder(FormatMarker).decode
+_decode_release_record = msgspec.json.Decoder(ReleaseRecord).decode
+_decode_team_shard = msgspec.json.Decoder(TeamShard).decode
+_decode_catalog = msgspec.json.Decoder(Catalog).decode
+
 
 class Registry:
     """The newest copy of each record.
@@ -79,7 +92,7 @@
             self._on_catalog(value)
 
     def _on_session(self, controller_id: str, value: bytes | None, mod_revision: int) -> None:
-        session = read_struct(value, Session)
+        session = decode_or_none(value, _decode_session)
         if session is None:
             self.sessions.pop(controller_id, None)
             return
@@ -93,12 +106,12 @@
         self.known_formats[controller_id] = session.record_format
 
     def _on_format_marker(self, value: bytes | None) -> None:
-        marker = read_struct(value, FormatMarker)
+        marker = decode_or_none(value, _decode_format_marker)
         if marker is not None:
             self.record_format = max(self.record_format, marker.record_format)
 
     def _on_leader(self, value: bytes | None, mod_revision: int) -> None:
-        leader = read_struct(value, Session)
+        leader = decode_or_none(value, _decode_session)
         self.leader = None if leader is None else Versioned(leader, mod_revision)
         controller_id = leader.controller_id if leader is not None else "none"
         log.info("leader changed controller=%s revision=%d", controller_id, mod_revision)
@@ -106,19 +119,19 @@
     def _on_release_record(self, key: str, value: bytes | None) -> None:
         for machine_id in self.machines_by_release_record.pop(key, ()):
             self.release_records.pop(machine_id, None)
-        record = read_struct(value, ReleaseRecord)
+        record = decode_or_none(value, _decode_release_record)
         if record is not None:
             machine_ids = record.machine_ids or [key[len(RELEASE_PREFIX) :]]
             self.machines_by_release_record[key] = machine_ids
             self.release_records.update(dict.fromkeys(machine_ids, key))
 
     def _on_team(self, team: str, value: bytes | None) -> None:
-        record = read_struct(value, TeamShard)
+        record = decode_or_none(value, _decode_team_shard)
         if record is not None:
             self.team_shards[team] = record.shard_id
 
     def _on_catalog(self, value: bytes | None) -> None:
-        catalog = read_struct(value, Catalog)
+        catalog = decode_or_none(value, _decode_catalog)
         if catalog is not None:
             self.machine_types = {
                 machine_type.name: machine_type for machine_type in catalog.machine_types
@@ -127,7 +140,7 @@
 
     def _on_shard_record(self, shard_id: str, value: bytes | None, mod_revision: int) -> str | None:
         self.record_bytes[shard_id] = len(value or b"")
-        header = read_shard_header(value)
+        header = decode_or_none(value, decode_shard_header)
         if header is not None and not header.record.compact:
             self.first_format_shards.add(shard_id)
         else:
@@ -147,7 +160,7 @@
         if parsed is None:
             return None
         shard_id, number = parsed
-        page = read_page(value)
+        page = decode_or_none(value, decode_page)
         self._assembly.set_page(shard_id, number, page)
         return None if page is None else self._publish_assembled(shard_id)
 
