--- a/fallpulley/records/keys.py
+++ b/fallpulley/records/keys.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 LEADER_KEY = "live/leader"
 FORMAT_KEY = "live/format"
 CATALOG_KEY = "live/catalog"
@@ -14,12 +16,19 @@
 PAGE_PREFIX = "live/machines/"
 
 
+class PageKey(NamedTuple):
+    """Which page of which shard's machines a key names."""
+
+    shard_id: str
+    number: int
+
+
 def page_key(shard_id: str, number: int) -> str:
     """The key of one page of a shard's machines."""
     return f"{PAGE_PREFIX}{shard_id}/{number}"
 
 
-def parse_page_key(key: str) -> tuple[str, int] | None:
-    """The shard's id and the page's number of a key under `PAGE_PREFIX`; None if malformed."""
+def parse_page_key(key: str) -> PageKey | None:
+    """What a key under `PAGE_PREFIX` names; None if it is malformed."""
     shard_id, _, number = key[len(PAGE_PREFIX) :].rpartition("/")
-    return (shard_id, int(number)) if shard_id and number.isdigit() else None
+    return PageKey(shard_id, int(number)) if shard_id and number.isdigit() else None
