--- a/fallpulley/controller/record_dispatch.py
+++ b/fallpulley/controller/record_dispatch.py
@@ -7,7 +7,8 @@
 from fallpulley.controller.shard_lifecycle import ShardLifecycle
 from fallpulley.extensions import Extensions
 from fallpulley.jobs.job_index import JOB_PREFIX
-from fallpulley.records.registry import FORMAT_KEY, SESSION_PREFIX, Registry
+from fallpulley.records.keys import FORMAT_KEY, SESSION_PREFIX
+from fallpulley.records.registry import Registry
 
 
 class RecordDispatcher:
--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -16,7 +16,7 @@
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.messages import RentalRequest
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.records.registry import SHARD_PREFIX
+from fallpulley.records.keys import SHARD_PREFIX
 
 # The machine ids of one intent take at most this share of the longest value of a record.
 MAX_INTENT_VALUE_SHARE = 0.5
--- a/fallpulley/duties/ownership.py
+++ b/fallpulley/duties/ownership.py
@@ -7,7 +7,7 @@
 from fallpulley.controller_access import MAX_WRITE_WAIT_SECONDS, ControllerAccess
 from fallpulley.duties.messages import Duty, DutyRecord, duty_key
 from fallpulley.duties.registry import DutyRegistry
-from fallpulley.records.registry import LEADER_KEY
+from fallpulley.records.keys import LEADER_KEY
 from fallpulley.state.client import Change, RequestPriority, WriteResult
 
 # A duty that could not be claimed is tried again after so long.
--- a/fallpulley/fleet/catalog.py
+++ b/fallpulley/fleet/catalog.py
@@ -8,7 +8,8 @@
 from fallpulley.effects import Response
 from fallpulley.fleet.cloud import CloudClient, decode_ok
 from fallpulley.fleet.messages import Catalog, MachineType
-from fallpulley.records.registry import CATALOG_KEY, Registry
+from fallpulley.records.keys import CATALOG_KEY
+from fallpulley.records.registry import Registry
 from fallpulley.state.client import Change, RequestPriority, Write, ignore_result
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -25,8 +25,9 @@
 from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
 from fallpulley.jobs.shard_choice import ShardChooser
 from fallpulley.jobs.validation import why_never_runs
-from fallpulley.records.registry import TEAM_PREFIX, Registry
-from fallpulley.records.shard_record import TeamShard
+from fallpulley.records.keys import TEAM_PREFIX
+from fallpulley.records.messages import TeamShard
+from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
 from fallpulley.state.client import Change, WriteResult
 from fallpulley.state.watch_cache import WatchCache
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -6,7 +6,7 @@
 from fallpulley.effects import OperatorRequest
 from fallpulley.extensions import Extension
 from fallpulley.jobs.service import JobService
-from fallpulley.records.registry import SHARES_KEY
+from fallpulley.records.keys import SHARES_KEY
 from fallpulley.records.writer import ShardWriter
 from fallpulley.shares.policy_runner import PolicyRunner
 from fallpulley.shares.reconciler import Reconciler, Targets
