--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -8,6 +8,7 @@
 from fallpulley.extensions import Extensions
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
+from fallpulley.heartbeats.handler import HeartbeatHandler
 from fallpulley.jobs.persistence import JobPersistence
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
@@ -22,7 +23,6 @@
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.state.watch_cache import WatchCache
-from fallpulley.workers.heartbeats import HeartbeatHandler
 
 # Machines, jobs and records are looked over so often within a heartbeat interval.
 TICK_INTERVALS = 1.0 / 15.0
--- a/fallpulley/controller/router.py
+++ b/fallpulley/controller/router.py
@@ -9,8 +9,8 @@
 from fallpulley.controller.health import Health
 from fallpulley.effects import OperatorRequest, Request
 from fallpulley.extensions import Extensions
+from fallpulley.heartbeats.handler import HeartbeatHandler
 from fallpulley.jobs.service import JobService
-from fallpulley.workers.heartbeats import HeartbeatHandler
 
 Handler = Callable[[Request, str], None]  # the request, and the job that its path names
 
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -18,6 +18,7 @@
 from fallpulley.extensions import Extensions
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
+from fallpulley.heartbeats.handler import HeartbeatHandler
 from fallpulley.jobs.persistence import JobPersistence
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
@@ -30,7 +31,6 @@
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.state.watch_cache import WatchCache
-from fallpulley.workers.heartbeats import HeartbeatHandler
 
 # A watch returns at least so often within a session: its return proves the copy fresh.
 WATCHES_PER_SESSION = 3.0
--- /dev/null
+++ b/fallpulley/heartbeats/deferral.py
@@ -0,0 +1,90 @@
+"""Holds back the responses to heartbeats of machines that the next plan may give tasks to."""
+
+from __future__ import annotations
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.heartbeats.responses import HeartbeatResponder
+from fallpulley.shards.agent import ShardAgent
+from fallpulley.workers.machine import Machine
+
+# A machine with room waits so long, in heartbeat intervals, for the next plan to answer its
+# heartbeat: without, room that a task had just left stood idle until the next heartbeat.
+DEFER_INTERVALS = 0.25
+
+
+class DeferredHeartbeat(msgspec.Struct):
+    """A heartbeat of an owned machine, to be answered once the machine need not wait."""
+
+    pending_response: object
+    agent: ShardAgent
+    machine: Machine
+    newer: bool  # it was newer than what was known of the machine
+    deadline_at: float  # by the steady clock
+
+
+class DeferredHeartbeats:
+    """Heartbeats that wait for a plan or for an occupancy flag, in the order of arrival."""
+
+    def __init__(self, context: ControllerContext, responder: HeartbeatResponder) -> None:
+        self.context = context
+        self.responder = responder
+        self.waiting: list[DeferredHeartbeat] = []  # checked before; deadlines in rising order
+        self._arrived: list[DeferredHeartbeat] = []  # since the last responses
+        self._recheck_waiting = True
+
+    def add(
+        self, pending_response: object, agent: ShardAgent, machine: Machine, newer: bool
+    ) -> None:
+        """A heartbeat that has been applied; `newer`: it was newer than what was known."""
+        deadline_at = self.context.now + DEFER_INTERVALS * self.context.timing.report_s
+        self._arrived.append(
+            DeferredHeartbeat(pending_response, agent, machine, newer, deadline_at)
+        )
+
+    def recheck(self) -> None:
+        """Plans or occupancy flags have changed what the heartbeats wait for."""
+        self._recheck_waiting = True
+
+    def respond(self) -> None:
+        """Answer the heartbeats that need not wait any longer.
+
+        While neither plans nor occupancy flags change, those that waited before go on waiting
+        until their deadlines: only the overdue ones, which come first, and new ones are checked.
+        """
+        recheck, self._recheck_waiting = self._recheck_waiting, False
+        if not recheck:
+            overdue = self._overdue_count()
+            self._respond_to(self.waiting[:overdue])
+            self.waiting = self.waiting[overdue:]
+        else:
+            self._arrived, self.waiting = self.waiting + self._arrived, []
+        arrived, self._arrived = self._arrived, []
+        self.waiting += self._respond_to(arrived)
+
+    def _overdue_count(self) -> int:
+        now = self.context.now
+        for number, deferred in enumerate(self.waiting):
+            if deferred.deadline_at > now:
+                return number
+        return len(self.waiting)
+
+    def _respond_to(self, heartbeats: list[DeferredHeartbeat]) -> list[DeferredHeartbeat]:
+        """Answer those that need not wait; returns the others."""
+        still_waiting = []
+        for deferred in heartbeats:
+            if self._must_wait(deferred):
+                still_waiting.append(deferred)
+            else:
+                self.responder.respond(
+                    deferred.pending_response, deferred.agent, deferred.machine, deferred.newer
+                )
+        return still_waiting
+
+    def _must_wait(self, deferred: DeferredHeartbeat) -> bool:
+        machine = deferred.machine
+        # It waits for the next plan, or for the record to flag it as occupied.
+        unplanned = deferred.agent.shard.needs_replan or not machine.marked_occupied
+        in_time = self.context.now < deferred.deadline_at
+        return unplanned and in_time and machine.usable and not machine.full
--- /dev/null
+++ b/fallpulley/heartbeats/responses.py
@@ -0,0 +1,137 @@
+"""Responses to heartbeats: whether a machine may have one, and the commands that it carries."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from http import HTTPStatus
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.jobs.messages import Submission
+from fallpulley.jobs.open_job import OpenJob
+from fallpulley.placement.plan import Booking
+from fallpulley.records.registry import Registry
+from fallpulley.records.writer import ShardWriter
+from fallpulley.shards.agent import ShardAgent
+from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.shard import Shard
+from fallpulley.state.watch_cache import WatchCache
+from fallpulley.workers.machine import Machine
+from fallpulley.workers.messages import HeartbeatResponse, TaskCommand
+
+# A machine of a shard just acquired is answered so often before it must have shown our token.
+MAX_UNFENCED_RESPONSES = 3
+RETRY_AFTER_SECONDS = 1.0
+# Lower bound of a machine type's image bandwidth, in GB per second, against division by zero.
+MIN_FETCH_GB_PER_SECOND = 1e-3
+OK = HTTPStatus.OK  # a constant: it is sent for nearly every heartbeat
+
+
+class HeartbeatResponder:
+    """Answers heartbeats of the machines of owned shards. Each response renews a lease."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        watch: WatchCache,
+        registry: Registry,
+        writer: ShardWriter,
+        owned: OwnedShards,
+        is_serving: Callable[[], bool],
+    ) -> None:
+        """`is_serving`: whether this controller may respond, being within its response window."""
+        self.context = context
+        self.watch = watch
+        self.registry = registry
+        self.writer = writer
+        self.owned = owned
+        self.is_serving = is_serving
+
+    def respond_unavailable(self, pending_response: object) -> None:
+        """Renew nothing: the machine tries the next controller."""
+        self.context.respond(
+            pending_response, HTTPStatus.SERVICE_UNAVAILABLE, b"", RETRY_AFTER_SECONDS
+        )
+
+    def respond(
+        self, pending_response: object, agent: ShardAgent, machine: Machine, newer: bool
+    ) -> None:
+        """Answer a heartbeat with the commands for its machine, or refuse it.
+
+        `newer`: the heartbeat was newer than what was known of the machine.
+        """
+        if not self._may_respond(agent.shard, machine):
+            self.respond_unavailable(pending_response)
+            return
+        commands: list[TaskCommand] = []
+        if machine.fencing.fenced:
+            # Also when the response to a direct command has overtaken the heartbeat: this response
+            # renews the lease, so it carries what is to stop.
+            commands = agent.commands.pending_commands(machine)
+            if newer and self._may_start_tasks(agent.shard, machine):
+                commands += self._start_commands(agent, machine)
+        machine.heartbeat.responded_at = self.context.now
+        body = msgspec.json.encode(HeartbeatResponse(machine.fencing.token, commands))
+        self.context.respond(pending_response, OK, body)
+
+    def _may_respond(self, shard: Shard, machine: Machine) -> bool:
+        if (
+            self.owned.shards.get(shard.shard_id) is not shard
+            or machine.machine_id not in shard.machines
+        ):
+            return False
+        if not self.is_serving():
+            return False  # checked again: a heartbeat that waited may have outlived the window
+        if machine.machine_id not in shard.unreconciled or machine.fencing.fenced:
+            return True
+        # It may hold tasks and has not shown that our responses reach it. A response may renew its
+        # lease, so it gets a few only: a machine that no response reaches would put off for ever
+        # the time when it is confirmed empty, and with it every job accepted before.
+        if machine.fencing.unfenced_responses >= MAX_UNFENCED_RESPONSES:
+            return False
+        machine.fencing.unfenced_responses += 1
+        return True
+
+    def _may_start_tasks(self, shard: Shard, machine: Machine) -> bool:
+        # The occupancy flag by the newest copy of the record, not by the last comparison of all.
+        occupied = machine.marked_occupied and self.writer.is_occupied(
+            shard.shard_id, machine.machine_id
+        )
+        return machine.usable and occupied and self.watch.ready
+
+    def _start_commands(self, agent: ShardAgent, machine: Machine) -> list[TaskCommand]:
+        """Start the tasks that are booked on the machine from now on."""
+        commands: list[TaskCommand] = []
+        shard = agent.shard
+        for booking in shard.bookings.pop(machine.machine_id, ()):
+            job = shard.jobs.get(booking.job_id)
+            if job is None or not _is_startable(job, booking):
+                continue
+            command = agent.commands.start(machine, job, booking, shard.estimate_run_s(job))
+            if command is None:
+                break
+            commands.append(command)
+            self._record_image(shard, machine, job.spec)
+        return commands
+
+    def _record_image(self, shard: Shard, machine: Machine, spec: Submission) -> None:
+        """The machine uses the job's image from now on, and fetches it first if it has to."""
+        machine_type = self.registry.machine_types.get(machine.entry.machine_type)
+        if machine_type is None:
+            return
+        images = machine.images
+        if spec.image not in images.cached:
+            # Fetches run one after the other.
+            begin = max([self.context.now, *images.fetching.values()])
+            fetch_gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_SECOND)
+            images.fetching[spec.image] = begin + spec.image_gb / fetch_gb_per_s
+            shard.decisions.image_cached(machine.machine_id, spec.image, spec.image_gb)
+        images.add(spec.image, spec.image_gb, machine_type.cache_gb)
+
+
+def _is_startable(job: OpenJob, booking: Booking) -> bool:
+    """Whether the job still needs the booked task to start."""
+    return not (
+        job.cancelled or booking.task_index in job.runs or job.is_completed(booking.task_index)
+    )
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -70,4 +70,4 @@
                 machine is not None
                 and machine.heartbeat.received_at + self.context.timing.report_s > soon
             ):
-                agent.commands.prompt_heartbeat(machine)
+                agent.direct.prompt_heartbeat(machine)
--- /dev/null
+++ b/fallpulley/shards/adoption.py
@@ -0,0 +1,51 @@
+"""Adopts tasks that a machine runs and that this owner of its shard did not start."""
+
+from __future__ import annotations
+
+import logging
+
+from fallpulley.jobs.messages import TaskId, parse_task_id
+from fallpulley.jobs.open_job import OpenJob
+from fallpulley.shards.shard import Shard
+from fallpulley.workers.machine import Machine, TaskRun
+from fallpulley.workers.messages import TaskState, TaskStatus
+
+log = logging.getLogger(__name__)
+
+
+def adopt_task(shard: Shard, machine: Machine, status: TaskStatus) -> None:
+    """Keep a task that an open job still needs; any other is stopped with the next commands."""
+    task = parse_task_id(status.task_id)
+    job = shard.jobs.get(task.job_id) if task else None
+    if task is None or job is None:
+        return
+    if not _is_needed(job, task) or status.task_id in machine.runs:
+        return
+    now = shard.context.now
+    run = TaskRun(
+        job.job_id,
+        task.task_index,
+        status.attempt,
+        machine.machine_id,
+        now,
+        shard.estimate_run_s(job),
+        job.resources,
+        reported=True,
+        state=status.state,
+        started_at=now if status.state == TaskState.RUNNING else None,
+    )
+    job.runs[run.task_index] = run
+    machine.runs[run.task_id] = run
+    shard.decisions.task_started(run)
+    shard.needs_replan = True
+    log.info("task adopted task=%s machine=%s", run.task_id, machine.machine_id)
+
+
+def _is_needed(job: OpenJob, task: TaskId) -> bool:
+    """The job is to go on, and has neither completed the task nor an attempt of it elsewhere."""
+    return not (
+        job.cancelled
+        or task.task_index >= job.spec.task_count
+        or job.is_completed(task.task_index)
+        or task.task_index in job.runs
+    )
--- a/fallpulley/shards/agent.py
+++ b/fallpulley/shards/agent.py
@@ -6,6 +6,7 @@
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.shards import job_stops
 from fallpulley.shards.commands import MachineCommands
+from fallpulley.shards.direct_commands import DirectCommands
 from fallpulley.shards.fencing import Fencing
 from fallpulley.shards.heartbeat_intake import HeartbeatIntake
 from fallpulley.shards.lease_expiry import LeaseExpiry
@@ -15,17 +16,18 @@
 
 
 class ShardAgent:
-    """Commands the shard's machines, applies what they report, and watches their leases."""
+    """Commands the shard's machines, applies what they send, and watches their leases."""
 
     def __init__(self, context: ControllerContext, shard: Shard) -> None:
         self.shard = shard
-        self.commands = MachineCommands(context, shard, self._on_direct_status)
+        self.direct = DirectCommands(context, shard, self._on_direct_status)
+        self.commands = MachineCommands(context, shard, self.direct)
         self.lease_expiry = LeaseExpiry(context, shard)
         self.intake = HeartbeatIntake(context, shard, self.commands, self.lease_expiry)
-        self.fencing = Fencing(context, shard, self.commands)
+        self.fencing = Fencing(context, shard, self.direct)
 
     def end_job(self, job: OpenJob, cancelled: bool) -> None:
-        """The job's record is final: nothing of it may start or go on."""
+        """The job's record is final: none of its tasks may start or go on."""
         job_stops.end_job(self.shard, self.commands, job, cancelled)
 
     def stop_broken_gangs(self) -> None:
@@ -33,4 +35,4 @@
         job_stops.stop_broken_gangs(self.shard, self.commands)
 
     def _on_direct_status(self, machine: Machine, status: Heartbeat) -> None:
-        self.intake.handle(machine, status, is_heartbeat=False)
+        self.intake.handle_direct_status(machine, status)
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -1,23 +1,18 @@
-"""What a holder sends to the machines of its block."""
+"""Which tasks the machines of a shard are to start, stop and forget."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
-
-import msgspec
 
 from fallpulley.context import ControllerContext
-from fallpulley.effects import Response
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
+from fallpulley.shards.direct_commands import DirectCommands
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import (
-    DirectCommand,
     ExitReason,
-    Heartbeat,
     Operation,
     TaskCommand,
     TaskState,
@@ -26,44 +21,33 @@
 
 log = logging.getLogger(__name__)
 
-# A worker counts a higher token as a change once in half a lease.
-PROMPT_INTERVAL_LEASES = 0.5
+# Constants, since enum members are looked up slowly: these are used for every task of a heartbeat.
+EXITED = TaskState.EXITED
+DONE = ExitReason.DONE
 
 
 class MachineCommands:
-    """Starts, stops and clears tasks, with check-ins' replies or directly."""
+    """Commands for the machines of one shard, sent with responses to heartbeats or directly."""
 
-    def __init__(
-        self,
-        context: ControllerContext,
-        shard: Shard,
-        on_status: Callable[[Machine, Heartbeat], None],
-    ) -> None:
-        """`on_status` takes the machine's state from a response to a direct command."""
+    def __init__(self, context: ControllerContext, shard: Shard, direct: DirectCommands) -> None:
         self.context = context
         self.shard = shard
-        self._on_status = on_status
+        self.direct = direct
 
     def start(
-        self, machine: Machine, job: OpenJob, booking: Booking, estimate_s: float
+        self, machine: Machine, job: OpenJob, booking: Booking, estimated_run_s: float
     ) -> TaskCommand | None:
-        """The order that starts a booked task; None where no attempt may be made now."""
-        if job.spec.kind != JobKind.GANG or not job.runs:
-            self.shard.needs_new_revision = (
-                self.shard.needs_new_revision or self.shard.attempt_numbers.needs_new_revision
-            )
-            attempt = self.shard.attempt_numbers.next(self.shard.fencing_token)
-            if attempt is None:
-                return None
-            job.gang_attempt = attempt
-        # The tasks of an ensemble find each other by their common attempt.
+        """The command that starts a booked task; None where no attempt may be made now."""
+        attempt = self._attempt_for(job)
+        if attempt is None:
+            return None
         run = TaskRun(
             job.job_id,
             booking.task_index,
-            job.gang_attempt,
+            attempt,
             machine.machine_id,
             self.context.now,
-            estimate_s,
+            estimated_run_s,
             job.resources,
         )
         job.runs[booking.task_index] = run
@@ -71,103 +55,73 @@
         self.shard.decisions.task_started(run)
         machine.heartbeat.start_unacknowledged = True
         machine.snapshot = None
-        log.debug("task ordered task=%s machine=%s", run.task_id, machine.machine_id)
+        log.debug("task start commanded task=%s machine=%s", run.task_id, machine.machine_id)
         machine.scale_in.idle_since = None
         return TaskCommand(Operation.START, run.task_id, run.attempt)
 
     def stop(self, run: TaskRun, grace_period_s: float) -> None:
-        """Stop with the next orders, and directly now if the machine can be reached."""
+        """Stop a task with the next response to its machine, and directly now if the machine can be
+        reached."""
         run.stop_grace_s = grace_period_s
         self.shard.decisions.task_stopped(run)
         machine = self.shard.machines.get(run.machine_id)
-        if machine is not None:
-            machine.snapshot = None
-        if machine is not None and run.reported and machine.entry.address:
-            self.send_direct(
-                machine, [TaskCommand(Operation.STOP, run.task_id, run.attempt, grace_period_s)]
-            )
+        if machine is None:
+            return
+        machine.snapshot = None
+        if run.reported and machine.entry.address:
+            command = TaskCommand(Operation.STOP, run.task_id, run.attempt, grace_period_s)
+            self.direct.send(machine, [command])
 
     def preempt(self, machine_id: str, task_ids: list[str]) -> None:
-        """Stop tasks at once to make room: what they did since their last save is lost."""
+        """Stop tasks at once to make room: what they did since their last checkpoint is lost."""
         machine = self.shard.machines[machine_id]
         machine.snapshot = None
         commands = []
-        for name in task_ids:
-            run = machine.runs[name]
+        for task_id in task_ids:
+            run = machine.runs[task_id]
             run.stop_grace_s = 0.0
             self.shard.decisions.task_stopped(run)
             commands.append(TaskCommand(Operation.STOP, run.task_id, run.attempt, 0.0))
             log.info("task preempted task=%s machine=%s", run.task_id, machine_id)
         if machine.entry.address:
-            self.send_direct(machine, commands)
-
-    def prompt_heartbeat(self, machine: Machine) -> None:
-        """Make a machine with a booked task report now: a higher token counts as a change, but
-        only once in half a lease."""
-        now = self.context.now
-        if (
-            now < machine.fencing.prompted_at + PROMPT_INTERVAL_LEASES * self.context.timing.lease_s
-            or not machine.entry.address
-        ):
-            return
-        if machine.fencing.advance_token(self.shard.fencing_token):
-            machine.fencing.prompted_at = now
-            self.send_direct(machine, [])
-
-    def send_direct(
-        self,
-        machine: Machine,
-        commands: list[TaskCommand],
-        answered: Callable[[int | None], None] | None = None,
-    ) -> None:
-        """Command a machine at its address; `answered` is told the outcome first."""
-
-        def done(response: Response) -> None:
-            if answered is not None:
-                answered(response.status)
-            self._on_direct_response(machine, response.status, response.body)
-
-        message = msgspec.json.encode(
-            DirectCommand(machine.fencing.token, machine.heartbeat.agent_epoch or 1, commands)
-        )
-        self.context.call(machine.entry.address, "POST", "/do", message, 1.5, done)
-
-    def _on_direct_response(self, machine: Machine, status: int | None, body: bytes) -> None:
-        if status not in (200, 409) or self.shard.machines.get(machine.machine_id) is not machine:
-            return
-        try:
-            heartbeat = msgspec.json.decode(body, type=Heartbeat)
-        except msgspec.MsgspecError:
-            return
-        if heartbeat.machine_id != machine.machine_id:
-            return
-        if status == 200:
-            self._on_status(machine, heartbeat)
-        elif not machine.fencing.fenced and heartbeat.agent_epoch > machine.heartbeat.agent_epoch:
-            machine.heartbeat.agent_epoch = heartbeat.agent_epoch
-            machine.fencing.next_probe_at = float("-inf")
+            self.direct.send(machine, commands)
 
     def pending_commands(self, machine: Machine) -> list[TaskCommand]:
-        """Clears and stops for a check-in's reply."""
+        """What a machine is to forget and to stop, for the response to its heartbeat."""
         commands: list[TaskCommand] = []
-        for name, status in machine.tasks.items():
-            if status.state == TaskState.EXITED:
-                named = parse_task_id(name)
-                job = self.shard.jobs.get(named[0]) if named else None
-                if self._may_forget(job, named, status):
-                    commands.append(TaskCommand(Operation.FORGET, name, status.attempt))
+        for task_id, status in machine.tasks.items():
+            if status.state is EXITED:
+                if self._may_forget(status):
+                    commands.append(TaskCommand(Operation.FORGET, task_id, status.attempt))
                 continue
-            run = machine.runs.get(name)
+            run = machine.runs.get(task_id)
             if run is None or run.attempt != status.attempt:
-                commands.append(TaskCommand(Operation.STOP, name, status.attempt, 0.0))
+                commands.append(TaskCommand(Operation.STOP, task_id, status.attempt, 0.0))
             elif run.stop_grace_s is not None:
-                commands.append(TaskCommand(Operation.STOP, name, status.attempt, run.stop_grace_s))
+                commands.append(
+                    TaskCommand(Operation.STOP, task_id, status.attempt, run.stop_grace_s)
+                )
         return commands
 
-    def _may_forget(
-        self, job: OpenJob | None, named: tuple[str, int] | None, status: TaskStatus
-    ) -> bool:
-        """The end is durable, or of no use; and we never repeat an attempt's `run`."""
-        if job is None or named is None or status.exit_reason != ExitReason.DONE or job.cancelled:
+    def _attempt_for(self, job: OpenJob) -> int | None:
+        """The attempt number of the job's next start; None where there is none to give out."""
+        if job.spec.kind == JobKind.GANG and job.runs:
+            # The tasks of a gang find each other by their common attempt.
+            return job.gang_attempt
+        numbers = self.shard.attempt_numbers
+        self.shard.needs_new_revision = self.shard.needs_new_revision or numbers.needs_new_revision
+        attempt = numbers.next(self.shard.fencing_token)
+        if attempt is not None:
+            job.gang_attempt = attempt
+        return attempt
+
+    def _may_forget(self, status: TaskStatus) -> bool:
+        """Whether a machine may forget an exited task: its completion is durable, or of no use.
+
+        The start of an attempt is never commanded twice, so a forgotten one cannot begin again.
+        """
+        task = parse_task_id(status.task_id)
+        job = self.shard.jobs.get(task.job_id) if task else None
+        if task is None or job is None or job.cancelled or status.exit_reason is not DONE:
             return True
-        return named[1] < job.spec.task_count and job.is_durable(named[1])
+        return task.task_index < job.spec.task_count and job.is_durable(task.task_index)
--- a/fallpulley/shards/decisions.py
+++ b/fallpulley/shards/decisions.py
@@ -1,4 +1,4 @@
-"""What a block's holder decides, as told to whoever keeps a record of it."""
+"""The decisions of a shard's owner, for an extension that replicates them."""
 
 from __future__ import annotations
 
@@ -8,41 +8,42 @@
 
 
 class DecisionSink(Protocol):
-    """Takes a holder's decisions in the order in which they are made. Must not fail or wait."""
+    """Receives an owner's decisions in the order in which they are made. Must not fail or wait."""
 
     def task_started(self, run: TaskRun) -> None:
-        """An attempt was ordered, or one found on a machine was adopted."""
+        """An attempt was commanded to start, or one found on a machine was adopted."""
 
     def task_stopped(self, run: TaskRun) -> None:
-        """An attempt was told to stop."""
+        """An attempt is to stop: its machine is commanded to stop it."""
 
     def task_gone(self, run: TaskRun, cause: str) -> None:
-        """An attempt has ended, or is proved gone from its machine."""
+        """An attempt has exited, or is confirmed gone from its machine; `cause`: the exit reason,
+        or `gone`."""
 
-    def run_time_learned(self, job: str, observed: int, observed_s: float) -> None:
-        """A job's completed tasks and their summed run times."""
+    def run_time_learned(self, job_id: str, observed: int, observed_s: float) -> None:
+        """A job has so many completed tasks of known run time; `observed_s`: their sum."""
 
     def class_correction_learned(self, job_class: str, factor: float) -> None:
-        """A class's correction of its owners' estimates."""
+        """The factor on the estimates of a job class has changed."""
 
     def machine_granted(self, machine_id: str) -> None:
-        """The block's record has a new machine."""
+        """The machine was granted to the shard."""
 
     def machine_occupancy_changed(self, machine_id: str, used: bool) -> None:
-        """The record is to say whether the machine may hold tasks."""
+        """The machine's occupancy flag in the record is to change: whether it may hold tasks."""
 
     def machine_released(self, machine_id: str) -> None:
-        """The machine has left the block."""
+        """The machine has left the shard."""
 
     def machine_reachability_changed(self, machine_id: str, reachable: bool) -> None:
-        """The machine began to report, or fell silent."""
+        """The machine began to send heartbeats, or its lease has expired."""
 
     def image_cached(self, machine_id: str, image: str, size_gb: float) -> None:
-        """The machine has an image, or is about to."""
+        """The machine has an image, or fetches it."""
 
 
 class IgnoredDecisions:
-    """Nobody keeps a record."""
+    """Nobody replicates the decisions."""
 
     def task_started(self, run: TaskRun) -> None: ...
 
@@ -50,7 +51,7 @@
 
     def task_gone(self, run: TaskRun, cause: str) -> None: ...
 
-    def run_time_learned(self, job: str, observed: int, observed_s: float) -> None: ...
+    def run_time_learned(self, job_id: str, observed: int, observed_s: float) -> None: ...
 
     def class_correction_learned(self, job_class: str, factor: float) -> None: ...
 
--- a/fallpulley/shards/fencing.py
+++ b/fallpulley/shards/fencing.py
@@ -1,36 +1,42 @@
-"""Brings a new holder's token to the machines of a block just taken; their answers are reports."""
+"""Brings a new owner's fencing token to the machines of a shard just acquired, by direct commands.
+
+The responses carry the machines' tasks, and reconcile them without waiting for heartbeats.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
 from fallpulley.context import ControllerContext
-from fallpulley.shards.commands import MachineCommands
+from fallpulley.shards.direct_commands import WORKER_STATUSES, DirectCommands
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 
-# Of the machine's sockets, those that fences may take at once: a block of thousands of machines is
-# asked in bursts that leave sockets and time for everybody else.
+# Of this controller's sockets, the share that probes may use at once: a shard of thousands of
+# machines is probed in bursts that leave sockets and time for everybody else.
 SOCKET_SHARE = 0.04
 MIN_IN_FLIGHT = 8
-# A machine is asked again after so many report intervals.
+# A machine is probed again after so many heartbeat intervals.
 RETRY_INTERVALS = 0.5
 
 
 class Fencing:
-    """Asks machines in turn: those that do not answer never keep others from being asked."""
+    """Probes machines in turn: those that do not respond never keep others from being probed."""
 
-    def __init__(self, context: ControllerContext, shard: Shard, commands: MachineCommands) -> None:
+    def __init__(self, context: ControllerContext, shard: Shard, direct: DirectCommands) -> None:
         self.context = context
         self.shard = shard
-        self.commands = commands
+        self.direct = direct
         sockets = context.settings.facts.machine_limits.sockets
         self.max_in_flight = max(MIN_IN_FLIGHT, int(SOCKET_SHARE * sockets))
-        self.in_flight = 0
-        self._queue: deque[str] | None = None  # made when first needed, in asking order
+        self.in_flight = 0  # probes without an outcome yet
+        self._queue: deque[str] | None = None  # machines to probe, in order; made when first needed
 
     def tick(self, addresses: dict[str, str]) -> None:
-        """Ask those whose turn it is, as far as sockets allow."""
+        """Probe the machines whose turn it is, as far as sockets allow.
+
+        `addresses`, by machine_id, are newer than those in the record.
+        """
         shard = self.shard
         if self._queue is None:
             self._queue = deque(
@@ -42,7 +48,7 @@
             machine_id = self._queue.popleft()
             machine = shard.machines.get(machine_id)
             if machine is None or machine_id not in shard.unreconciled or machine.fencing.fenced:
-                continue  # it has shown our token, or has left
+                continue  # it has reported our token, or has left
             self._queue.append(machine_id)
             if not machine.entry.address and machine_id in addresses:
                 machine.entry = machine.entry.with_address(addresses[machine_id])
@@ -51,13 +57,13 @@
 
     def _may_probe(self, machine: Machine) -> bool:
         now = self.context.now
-        # One that was told our token with the answer to its own report shows it with the next.
-        told = now < machine.fencing.unfenced_heartbeat_at + self.context.timing.report_s
+        # The response to its own heartbeat carried our token: its next one reports it.
+        has_token = now < machine.fencing.unfenced_heartbeat_at + self.context.timing.report_s
         return (
             bool(machine.entry.address)
             and not machine.fencing.probe_in_flight
             and now >= machine.fencing.next_probe_at
-            and not told
+            and not has_token
         )
 
     def _probe(self, machine: Machine) -> None:
@@ -67,9 +73,9 @@
         )
         self.in_flight += 1
 
-        def answered(status: int | None) -> None:
+        def on_status(status: int | None) -> None:
             self.in_flight -= 1
             machine.fencing.probe_in_flight = False
-            machine.fencing.probe_failures += status not in (200, 409)
+            machine.fencing.probe_failures += status not in WORKER_STATUSES
 
-        self.commands.send_direct(machine, [], answered)
+        self.direct.send(machine, [], on_status)
--- a/fallpulley/shards/job_stops.py
+++ b/fallpulley/shards/job_stops.py
@@ -12,18 +12,18 @@
 
 
 def end_job(shard: Shard, commands: MachineCommands, job: OpenJob, cancelled: bool) -> None:
-    """The job's record is final: nothing of it may start or go on."""
+    """The job's record is final: none of its tasks may start or go on."""
     job.cancelled = True
     shard.needs_replan = True
     for run in list(job.runs.values()):
         commands.stop(run, 0.0)
     if not job.runs:
         shard.jobs.pop(job.job_id, None)
-    log.info("job ended job=%s cancelled=%s runs=%d", job.job_id, cancelled, len(job.runs))
+    log.info("job ended job=%s cancelled=%s count=%d", job.job_id, cancelled, len(job.runs))
 
 
 def stop_broken_gangs(shard: Shard, commands: MachineCommands) -> None:
-    """What is left of a gang that lost a task makes room for all of it to start anew."""
+    """Stop the remaining tasks of gangs that lost one, so that all of them start anew together."""
     for job in shard.jobs.values():
         if not job.gang_restarting:
             continue
--- a/fallpulley/shards/lease_expiry.py
+++ b/fallpulley/shards/lease_expiry.py
@@ -1,4 +1,4 @@
-"""When machines' leases expire, and what follows: they hold nothing any more."""
+"""When the leases of machines expire, and what follows: they hold no tasks any more."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """Watches the leases of one shard's machines.
 
     A machine that left the shard may get responses of a new owner while we, cut off from the state
-    service, still serve the rest. Its lease has expired only if it did so before our last look at
+    service, still serve the rest. Its lease has expired only if it did so before our last read of
     the records, which showed the shard as ours.
     """
 
@@ -31,14 +31,14 @@
         )
 
     def watch(self, machine: Machine) -> None:
-        """Look at the machine again once its lease may have expired."""
+        """Check the machine once its lease may have expired."""
         if machine.heartbeat.online or machine.runs:
             self._watch.watch(machine.machine_id, self._expires_at(machine))
 
     def expire(self, fresh_at: float) -> None:
-        """Act on all leases that have expired; `fresh_at`: our last look at the records."""
+        """Act on all leases that have expired; `fresh_at`: when the records were last read."""
         until = min(self.context.now, fresh_at)
-        for machine_id in self._watch.due(until):
+        for machine_id in self._watch.pop_due(until):
             machine = self.shard.machines.get(machine_id)
             if machine is None or not (machine.heartbeat.online or machine.runs):
                 continue
@@ -60,7 +60,7 @@
 
     def _expires_at(self, machine: Machine) -> float:
         # A heartbeat that is about to be responded to counts as responded: the response goes out
-        # after this look, and renews the lease.
+        # after this check, and renews the lease.
         last = max(machine.heartbeat.responded_at, machine.heartbeat.received_at)
         expires_at = last + self.context.timing.lease_expiry_s
         if machine.heartbeat.online:
@@ -77,7 +77,11 @@
         self.shard.drop_runs(machine, "lease expired")
 
     def _confirm_empty(self, until: float) -> None:
-        """Our own responses renew leases too, even of machines that have not reported since."""
+        """Machines that got no response for a lease hold no tasks.
+
+        Previous owners respond to nobody any more, but our own responses renew leases too, even of
+        machines that have not reported our token since.
+        """
         lease_expiry_s = self.context.timing.lease_expiry_s
         empty = {
             machine_id
--- /dev/null
+++ b/fallpulley/shards/run_times.py
@@ -0,0 +1,28 @@
+"""Learns from the run times of completed tasks: about their machine, their job and its class."""
+
+from __future__ import annotations
+
+from fallpulley.jobs.messages import JobKind
+from fallpulley.jobs.open_job import OpenJob
+from fallpulley.shards.shard import Shard
+from fallpulley.workers.machine import Machine, TaskRun
+
+# Lower bound of a recorded run time: estimates and ratios stay above zero.
+MIN_RUN_SECONDS = 0.1
+
+
+def record_run_time(shard: Shard, machine: Machine, job: OpenJob, run: TaskRun | None) -> None:
+    """A task of the job has completed on the machine; `run`: our attempt of it, if it was ours."""
+    machine.reliability.completed_tasks += 1
+    if run is None or run.started_at is None or job.spec.kind == JobKind.SERVICE:
+        return
+    run_s = max(MIN_RUN_SECONDS, shard.context.now - run.started_at)
+    # The estimate as it was before this run time: recording it changes the estimate.
+    estimated_s = shard.estimate_run_s(job)
+    machine.speed.record(run_s / estimated_s)
+    job.observed_tasks += 1
+    job.observed_run_s += run_s
+    job_class = job.spec.job_class
+    shard.corrections.learn(job_class, job.spec.estimated_run_s, run_s)
+    shard.decisions.run_time_learned(job.job_id, job.observed_tasks, job.observed_run_s)
+    shard.decisions.class_correction_learned(job_class, shard.corrections.factor(job_class))
--- /dev/null
+++ b/fallpulley/shards/task_changes.py
@@ -0,0 +1,86 @@
+"""What follows for a shard's jobs when tasks on a machine have started, exited or vanished."""
+
+from __future__ import annotations
+
+import logging
+
+from fallpulley.context import ControllerContext
+from fallpulley.jobs.messages import parse_task_id
+from fallpulley.jobs.open_job import OpenJob
+from fallpulley.shards.adoption import adopt_task
+from fallpulley.shards.run_times import record_run_time
+from fallpulley.shards.shard import Shard
+from fallpulley.workers.heartbeat_changes import ExitedTask, HeartbeatChanges
+from fallpulley.workers.machine import Machine, TaskRun
+from fallpulley.workers.messages import START_REFUSALS, ExitReason
+
+log = logging.getLogger(__name__)
+
+
+class TaskChanges:
+    """Applies the changes of tasks on one shard's machines to its jobs."""
+
+    def __init__(self, context: ControllerContext, shard: Shard) -> None:
+        self.context = context
+        self.shard = shard
+
+    def apply(self, machine: Machine, changes: HeartbeatChanges) -> None:
+        """Requeue, complete, adopt; the machine's own state has been brought up to date before."""
+        for run in changes.vanished:
+            self._on_vanished(run)
+        for exited in changes.exited:
+            self._on_exited(machine, exited)
+        for run in changes.started:
+            self._on_started(machine, run)
+        for status in changes.unknown_tasks:
+            adopt_task(self.shard, machine, status)
+        if changes.vanished or changes.exited:
+            self.shard.needs_replan = True
+        if not machine.empty:
+            machine.scale_in.idle_since = None
+        elif machine.scale_in.idle_since is None:
+            machine.scale_in.idle_since = self.context.now
+
+    def _on_vanished(self, run: TaskRun) -> None:
+        self.shard.drop_run(run)
+        if run.reported:
+            log.info("task vanished task=%s machine=%s", run.task_id, run.machine_id)
+
+    def _on_started(self, machine: Machine, run: TaskRun) -> None:
+        job = self.shard.jobs.get(run.job_id)
+        if job is not None:
+            machine.images.fetching.pop(job.spec.image, None)
+        log.debug("task started task=%s machine=%s", run.task_id, run.machine_id)
+
+    def _on_exited(self, machine: Machine, exited: ExitedTask) -> None:
+        run, status = exited
+        task = parse_task_id(status.task_id)
+        job = self.shard.jobs.get(task.job_id) if task else None
+        if task is None or job is None:
+            return
+        if run is not None:
+            job.runs.pop(run.task_index, None)
+            self.shard.decisions.task_gone(run, status.exit_reason or "")
+        if status.exit_reason == ExitReason.DONE:
+            if job.mark_completed(task.task_index, self.context.now):
+                log.debug("task completed task=%s machine=%s", status.task_id, machine.machine_id)
+                record_run_time(self.shard, machine, job, run)
+        elif run is not None:
+            self._on_failed(machine, job, run, status.exit_reason)
+        if job.cancelled and not job.runs:
+            self.shard.jobs.pop(job.job_id, None)
+
+    def _on_failed(
+        self, machine: Machine, job: OpenJob, run: TaskRun, exit_reason: ExitReason | None
+    ) -> None:
+        """A run has exited without completing its task."""
+        log.info(
+            "task exited task=%s machine=%s reason=%s", run.task_id, machine.machine_id, exit_reason
+        )
+        job.requeue(run.task_index)
+        now, timing = self.context.now, self.context.timing
+        if exit_reason == ExitReason.ERROR:
+            job.record_failure(machine.machine_id, now, timing.lease_s)
+            machine.reliability.failed_jobs.add(job.job_id)
+        elif exit_reason in START_REFUSALS:
+            machine.reliability.refuses_tasks_until = now + timing.report_s
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -98,8 +98,8 @@
     def task_gone(self, run: TaskRun, cause: str) -> None:
         self._append(Left(run.machine_id, run.task_id, run.attempt, cause))
 
-    def run_time_learned(self, job: str, observed: int, observed_s: float) -> None:
-        self._append(JobLearned(job, observed, round(observed_s, 2)))
+    def run_time_learned(self, job_id: str, observed: int, observed_s: float) -> None:
+        self._append(JobLearned(job_id, observed, round(observed_s, 2)))
 
     def class_correction_learned(self, job_class: str, factor: float) -> None:
         self._append(ClassLearned(job_class, round(factor, 4)))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from fallpulley.effects import Request
+from fallpulley.effects import Request, Response
+from fallpulley.heartbeats.deferral import DeferredHeartbeat
 from fallpulley.records.shard_record import decode_shard
-from fallpulley.workers.heartbeats import DeferredHeartbeat
 from tests.test_day_end import replay, started
 from tests.test_stories import busy, others, ready, submit
 from tests.world import LABELS, World, job
@@ -96,7 +96,9 @@
     assert len(world.starts_seen) == before
     world.refused.clear()
     world.run(5.0)
-    assert not world.controllers[old].parts.job_sync._cancelled and stages(world, uid) == {"withdrawn"}
+    assert not world.controllers[old].parts.job_sync._cancelled and stages(world, uid) == {
+        "withdrawn"
+    }
 
 
 def test_no_check_in_is_answered_once_the_window_is_over_even_if_it_came_before() -> None:
@@ -110,7 +112,7 @@
     def ticket(status: int, body: bytes, retry_after: float | None) -> None:
         answers.append(status)
 
-    controller.parts.heartbeats.deferred.append(
+    controller.parts.heartbeats.deferred.waiting.append(
         DeferredHeartbeat(ticket, controller.parts.owned.agents[held.shard_id], machine, True, 0.0)
     )
     controller.parts.watch.fresh_at = (
@@ -498,7 +500,7 @@
     before = (held.machines[host].heartbeat.agent_epoch, held.machines[host].heartbeat.sequence)
     assert replay(world, world.holder(), body) == [503]
     # As an answer of `/do` that was held up it is no news either.
-    agent.commands._on_direct_response(held.machines[host], 200, body)
+    agent.direct._on_response(held.machines[host], Response(200, body, world.now))
     assert (
         held.machines[host].heartbeat.agent_epoch,
         held.machines[host].heartbeat.sequence,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -169,7 +169,7 @@
 def test_attempts_go_on_from_a_newer_stamp_before_the_counter_is_used_up() -> None:
     """At 4,000 machines four million attempts are a few hours; the counter then ran over into
     numbers that a later holder may make."""
-    numbers = AttemptNumbers(100, bits=3)
+    numbers = AttemptNumbers(100, counter_bits=3)
     found = [numbers.next(100) for _ in range(7)]
     assert found == [(100 << 3) + n for n in range(1, 8)]
     assert numbers.needs_new_revision and numbers.next(100) is None
@@ -185,11 +185,11 @@
     looks = 0
     for tick in range(150):
         now = tick / 10
-        for host in watch.due(now):
+        for host in watch.pop_due(now):
             looks += 1
             watch.watch(host, now + 10.0)
     assert looks == MACHINES
-    assert watch.due(10.0) == []
+    assert watch.pop_due(10.0) == []
 
 
 def test_counts_of_any_number_of_jobs_go_out_in_bodies_that_are_taken() -> None:
