--- a/fallpulley/extensions.py
+++ b/fallpulley/extensions.py
@@ -1,4 +1,4 @@
-"""Optional parts of a controller: what they may take part in, and all that are turned on.
+"""Optional parts of a controller: the hooks that they may override, and all that are turned on.
 
 An extension is imported only where the operators' settings turn it on (`controller.wiring`).
 """
@@ -19,7 +19,7 @@
 
 
 class Extension:
-    """An optional part. A hook that it does not override does nothing."""
+    """An optional part of a controller. A hook that it does not override does nothing."""
 
     # Messages between controllers that begin so are for this extension.
     peer_message_prefix: bytes | None = None
@@ -33,14 +33,14 @@
     # -- events ----------------------------------------------------------------------------
 
     def watches(self, key: str) -> bool:
-        """Whether changes of this shared record are for the extension."""
+        """Whether changes of this record are for the extension."""
         return False
 
     def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        """A watched record has changed; None: it was deleted."""
+        """A watched record has changed; `value` is None where it was deleted."""
 
     def on_session_began(self, controller_id: str) -> None:
-        """The records show a new process of a controller."""
+        """The records show a new incarnation of a controller."""
 
     def on_shard_acquired(self, shard: Shard, previous: PreviousOwner | None) -> None:
         """This controller owns the shard from now on; `previous` owned it last, if anybody did."""
@@ -49,7 +49,7 @@
         """A newer record of a shard that this controller owns."""
 
     def on_shard_lost(self, shard_id: str) -> None:
-        """Somebody else owns the shard now."""
+        """Another controller owns the shard now."""
 
     def on_peer_message(self, body: bytes) -> None:
         """A message of another controller that begins with `peer_message_prefix`."""
@@ -71,7 +71,7 @@
     # -- decisions -------------------------------------------------------------------------
 
     def hold_off_s(self) -> float:
-        """How long to leave a free leadership to others."""
+        """How long to leave a free leadership to others, in seconds."""
         return 0.0
 
     def shards_to_open(self) -> list[str]:
@@ -83,7 +83,7 @@
         return None
 
     def shard_for_rental(self, asked_for: str) -> str:
-        """The shard that gets machines rented for another one."""
+        """The shard that gets machines rented for the shard `asked_for`: that one, or another."""
         return asked_for
 
 
@@ -106,23 +106,23 @@
         return next(found, None)
 
     def watching(self, key: str) -> Extension | None:
-        """The extension that this shared record is for."""
+        """The extension that this record is for; None: none of them."""
         return next((each for each in self._extensions if each.watches(key)), None)
 
     def for_peer_message(self, body: bytes) -> Extension | None:
-        """The extension that a message of another controller is for."""
+        """The extension that a message of another controller is for; None: none of them."""
         for each in self._extensions:
             if each.peer_message_prefix is not None and body.startswith(each.peer_message_prefix):
                 return each
         return None
 
     def for_operator_path(self, path: str) -> Extension | None:
-        """The extension that an operator's request is for."""
+        """The extension that an operator's request is for; None: none of them."""
         return next((each for each in self._extensions if each.operator_path == path), None)
 
     @property
     def balance_shards(self) -> bool:
-        """An extension exchanges machines between shards: the balancer must not."""
+        """Whether an extension exchanges machines between shards: the balancer must not."""
         return any(each.balances_shards for each in self._extensions)
 
     def hold_off_s(self) -> float:
@@ -142,7 +142,7 @@
         return None
 
     def shard_for_rental(self, asked_for: str) -> str:
-        """The shard that gets machines rented for `asked_for`."""
+        """The shard that gets machines rented for the shard `asked_for`."""
         for each in self._extensions:
             asked_for = each.shard_for_rental(asked_for)
         return asked_for
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -95,7 +95,7 @@
 
     def _may_start_tasks(self, shard: Shard, machine: Machine) -> bool:
         # The occupancy flag by the newest copy of the record, not by the last comparison of all.
-        occupied = machine.marked_occupied and self.writer.is_occupied(
+        occupied = machine.flagged_occupied and self.writer.is_occupied(
             shard.shard_id, machine.machine_id
         )
         return machine.usable and occupied and self.watch.ready
--- a/fallpulley/shards/decisions.py
+++ b/fallpulley/shards/decisions.py
@@ -43,7 +43,7 @@
 
 
 class IgnoredDecisions:
-    """Nobody replicates the decisions."""
+    """Nobody replicates the decisions: each method of `DecisionSink` does nothing."""
 
     def task_started(self, run: TaskRun) -> None: ...
 
--- a/fallpulley/shards/direct_commands.py
+++ b/fallpulley/shards/direct_commands.py
@@ -62,19 +62,20 @@
         there was no response.
         """
 
-        def on_response(response: Response) -> None:
+        def on_outcome(response: Response) -> None:
             if on_status is not None:
                 on_status(response.status)
-            self._on_response(machine, response)
+            self.on_response(machine, response)
 
         message = msgspec.json.encode(
             DirectCommand(machine.fencing.token, machine.heartbeat.agent_epoch or 1, commands)
         )
         self.context.call(
-            machine.entry.address, "POST", "/do", message, TIMEOUT_SECONDS, on_response
+            machine.entry.address, "POST", "/do", message, TIMEOUT_SECONDS, on_outcome
         )
 
-    def _on_response(self, machine: Machine, response: Response) -> None:
+    def on_response(self, machine: Machine, response: Response) -> None:
+        """A machine has responded to a direct command, or has not in time."""
         if response.status not in WORKER_STATUSES:
             return
         if self.shard.machines.get(machine.machine_id) is not machine:
--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -74,8 +74,8 @@
             machine.scale_in.leaving_shard = False  # its move was cancelled
             shard.needs_replan = True
         occupied = self.writer.is_occupied(shard.shard_id, machine.machine_id)
-        if occupied != machine.marked_occupied:
-            machine.marked_occupied = occupied
+        if occupied != machine.flagged_occupied:
+            machine.flagged_occupied = occupied
             shard.needs_replan = True
 
     def _is_flag_requested(self, shard: Shard, machine_id: str) -> bool:
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -1,4 +1,4 @@
-"""A machine of a shard as the shard's owner knows it, and the attempts of tasks on it."""
+"""A machine as the owner of its shard knows it, and the attempts of tasks on it."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 class TaskRun(msgspec.Struct, eq=False):
-    """An attempt of a task: commanded, perhaps on its machine, not confirmed gone."""
+    """An attempt of a task: commanded or adopted, and not confirmed gone from its machine."""
 
     job_id: str
     task_index: int
     attempt: int
     machine_id: str
-    commanded_at: float
+    commanded_at: float  # or adopted; by the steady clock
     estimated_run_s: float  # without the image fetch
     resources: Resources
-    reported: bool = False
+    reported: bool = False  # the machine has listed it
     state: TaskState = TaskState.FETCHING
-    started_at: float | None = None
-    stop_grace_s: float | None = None  # the grace period to stop it with, once it is to stop
+    started_at: float | None = None  # when it was first known to be past its image fetch
+    stop_grace_s: float | None = None  # grace period of its stop; None: it is not to stop
 
     @property
     def task_id(self) -> str:
@@ -43,7 +43,10 @@
 
 
 class Machine:
-    """In memory only: what is durable stands in the shard's record."""
+    """One machine, in memory only: what is durable is in the shard's record.
+
+    What is known of it is grouped by concern; `machine_parts` has the groups.
+    """
 
     def __init__(
         self, machine_id: str, entry: MachineEntry, fencing_token: int, now: float
@@ -57,16 +60,16 @@
         self.speed = SpeedEstimate()
         self.reliability = Reliability()
         self.scale_in = ScaleInState()
-        self.tasks: dict[str, TaskStatus] = {}  # as last reported, by task
-        self.runs: dict[str, TaskRun] = {}  # that may be there, by task
-        # The shard's record says that it may hold tasks: they may be started.
-        self.marked_occupied = False
-        # As the last plan saw it; None: something has changed since.
+        self.tasks: dict[str, TaskStatus] = {}  # as the machine last listed them, by task_id
+        self.runs: dict[str, TaskRun] = {}  # attempts that may be on the machine, by task_id
+        # The record's occupancy flag is set, so tasks may be started.
+        self.flagged_occupied = False
+        # The machine in the last plan; None: something has changed since.
         self.snapshot: MachineSnapshot | None = None
 
     @property
     def usable(self) -> bool:
-        """It runs tasks, hears us, and is to stay."""
+        """Whether it may get tasks: it is online, our commands reach it, and it is to stay."""
         scale_in, fencing = self.scale_in, self.fencing
         return (
             self.heartbeat.online
@@ -80,7 +83,7 @@
 
     @property
     def full(self) -> bool:
-        """No room for anything more, as far as the last plan has looked."""
+        """Whether the last plan found no room on it, and nothing has changed since."""
         snapshot = self.snapshot
         return (
             snapshot is not None
@@ -90,11 +93,11 @@
 
     @property
     def empty(self) -> bool:
-        """It holds no task, and none is on its way."""
+        """Whether it holds no task, and no start is on its way to it."""
         return not self.runs and not self.tasks
 
     def is_unchanged(self, heartbeat: Heartbeat) -> bool:
-        """The heartbeat tells nothing but that the machine is still there."""
+        """Whether the heartbeat shows nothing new but that the machine is still online."""
         return (
             self.fencing.fenced
             and not self.heartbeat.start_unacknowledged
--- a/fallpulley/workers/machine_parts.py
+++ b/fallpulley/workers/machine_parts.py
@@ -1,4 +1,7 @@
-"""What an owner knows of one of its machines, by concern."""
+"""What the owner of a shard knows of one of its machines, by concern.
+
+Times are in seconds by the steady clock.
+"""
 
 from __future__ import annotations
 
@@ -9,40 +12,43 @@
 from fallpulley.workers.messages import Heartbeat, HeartbeatVersion, TaskStatus
 
 # Tasks after which a machine's own run times count as much as the assumption that it is like
-# all others, and how many of the latest are looked at.
-SPEED_PRIOR_SAMPLES, MAX_SPEED_SAMPLES = 4, 12
+# all others, and how many of the latest count.
+SPEED_PRIOR_SAMPLES = 4
+MAX_SPEED_SAMPLES = 12
 # Machines of a type differ by up to a tenth; below this factor it is the tasks that differ.
 CLEARLY_SLOW = 1.4
 # A single run time counts within these factors of its estimate.
-MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO = 0.2, 8.0
+MIN_RUN_TIME_RATIO = 0.2
+MAX_RUN_TIME_RATIO = 8.0
 
 NEVER = float("-inf")
 
 
 @dataclass(slots=True)
 class HeartbeatState:
-    """What the machine's heartbeats have said, and what was responded."""
+    """The newest heartbeats of the machine, and the responses to them."""
 
-    agent_epoch: int = 0  # of the newest state known, also from direct commands
+    # Version of the newest state known, also from responses to direct commands.
+    agent_epoch: int = 0
     sequence: int = -1
     newest_received: HeartbeatVersion = (0, -1)  # of heartbeats alone
-    online: bool = False  # sends heartbeats now, as far as we know
-    ever_online: bool = False
-    received_at: float = NEVER
-    responded_at: float = NEVER
-    reported_tasks: list[TaskStatus] = field(default_factory=list)  # as the last one had them
+    online: bool = False  # its lease has not expired since its last heartbeat
+    ever_online: bool = False  # since we have owned the machine
+    received_at: float = NEVER  # the last heartbeat
+    responded_at: float = NEVER  # the last response, which may have renewed its lease
+    reported_tasks: list[TaskStatus] = field(default_factory=list)  # those of the newest state
     start_unacknowledged: bool = False  # a start was sent that no heartbeat has confirmed
 
     def is_newer(self, heartbeat: Heartbeat) -> bool:
-        """Whether this tells more than all that came before."""
+        """Whether this is newer than the newest state known."""
         return heartbeat.version > (self.agent_epoch, self.sequence)
 
     def advance(self, heartbeat: Heartbeat) -> None:
-        """This is the newest state known."""
+        """The newest state known is this one from now on."""
         self.agent_epoch, self.sequence = heartbeat.version
 
     def is_stale_copy(self, heartbeat: Heartbeat) -> bool:
-        """A heartbeat that is no newer than one that came before.
+        """Whether an equally new or newer heartbeat came before. Records the version.
 
         One that was only overtaken by the response to a direct command is not: its worker waits
         for the response.
@@ -55,24 +61,24 @@
 
 @dataclass(slots=True)
 class FencingState:
-    """Which token the machine is commanded under, and whether it has shown it."""
+    """The token that the machine is commanded with, and whether it has reported one of ours."""
 
-    # The revision of the record that gave the machine to us. Any revision from there up to the
-    # record's newest is ours alone, so the token may rise on the way.
+    # At first the revision of the record that gave the machine to us. Any revision from there up to
+    # the record's newest is ours alone, so the token may be raised that far.
     token: int
-    fenced: bool = False  # has reported with our token
-    # Since when its heartbeats come without showing that it hears us; None: it does.
+    fenced: bool = False  # has reported a token of ours
+    # Since when its heartbeats come without showing that our responses reach it; None: they do.
     unacknowledged_since: float | None = None
-    unfenced_heartbeat_at: float = NEVER  # when it last reported without our token
-    unfenced_responses: int = 0  # responses to it before it showed our token
-    prompted_at: float = NEVER
-    probe_in_flight: bool = False
-    next_probe_at: float = NEVER
-    probe_failures: int = 0
+    unfenced_heartbeat_at: float = NEVER  # the last one without a token of ours
+    unfenced_responses: int = 0  # responses to it before it reported a token of ours
+    prompted_at: float = NEVER  # when a heartbeat was last prompted by a raised token
+    probe_in_flight: bool = False  # an empty direct command has no outcome yet
+    next_probe_at: float = NEVER  # no probe before then
+    probe_failures: int = 0  # probes without a worker's response
 
     def advance_token(self, newest: int) -> bool:
-        """Use the next of the tokens that are ours, up to the record's newest revision; False
-        where there is none left."""
+        """Raise the token by one, up to `newest`, the record's newest revision; False where it is
+        there already."""
         if self.token >= newest:
             return False
         self.token += 1
@@ -81,13 +87,16 @@
 
 @dataclass(slots=True)
 class ImageCache:
-    """Images that the machine has or fetches. It keeps the most recently used ones."""
+    """Images that the machine has or fetches. It keeps the most recently used ones.
+
+    This is reckoned from what was started there: workers do not report their images.
+    """
 
     cached: OrderedDict[str, float] = field(default_factory=OrderedDict)  # image -> GB
-    fetching: dict[str, float] = field(default_factory=dict)  # image -> when it is there
+    fetching: dict[str, float] = field(default_factory=dict)  # image -> when the fetch ends
 
     def add(self, image: str, size_gb: float, cache_gb: float) -> None:
-        """The image is used now; others make room for it."""
+        """The image is used now; the least recently used ones make room for it."""
         self.cached[image] = size_gb
         self.cached.move_to_end(image)
         total = sum(self.cached.values())
@@ -124,20 +133,20 @@
 
 @dataclass(slots=True)
 class Reliability:
-    """Whether tasks succeed on the machine."""
+    """Whether tasks succeed on the machine, and whether it lets them start."""
 
-    failed_jobs: set[str] = field(default_factory=set)
+    failed_jobs: set[str] = field(default_factory=set)  # with a task that failed here
     completed_tasks: int = 0
-    refuses_tasks_until: float = NEVER
+    refuses_tasks_until: float = NEVER  # it has refused a start: no bookings before then
 
 
 @dataclass(slots=True)
 class ScaleInState:
-    """Whether the machine is about to leave its shard, or the fleet."""
+    """Whether the machine is about to leave its shard, or the fleet, and why."""
 
     draining: bool = False  # takes no new tasks: it is to leave the shard when it is empty
     release_decided: bool = False  # it may be released to the cloud at any moment
     leaving_shard: bool = False  # a record without this machine is being written
-    idle_since: float | None = None
-    preempted_at: float | None = None  # when the cloud takes it, by its notice
+    idle_since: float | None = None  # None: it holds tasks
+    preempted_at: float | None = None  # when the cloud takes it, by its preemption notice
     failed_in_cloud: bool = False  # the cloud says that it has stopped
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -500,7 +500,7 @@
     before = (held.machines[host].heartbeat.agent_epoch, held.machines[host].heartbeat.sequence)
     assert replay(world, world.holder(), body) == [503]
     # As an answer of `/do` that was held up it is no news either.
-    agent.direct._on_response(held.machines[host], Response(200, body, world.now))
+    agent.direct.on_response(held.machines[host], Response(200, body, world.now))
     assert (
         held.machines[host].heartbeat.agent_epoch,
         held.machines[host].heartbeat.sequence,
