--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -38,45 +38,39 @@
     def update_due(self, shard: Shard) -> None:
         """Compare the machines that are due. One whose flag or move is being written stays due."""
         due, shard.occupancy_due = shard.occupancy_due, {}
+        machines, entries = shard.machines, shard.record.machines
         for machine_id in due:
-            machine = shard.machines.get(machine_id)
-            entry = shard.record.machines.get(machine_id)
+            machine = machines.get(machine_id)
+            entry = entries.get(machine_id)
             if machine is None or entry is None:
                 continue
             self._request_change(shard, machine, entry)
-            self._read_back(shard, machine)
-            if machine.scale_in.leaving_shard or self._is_flag_requested(shard, machine_id):
+            # What has become of earlier requests.
+            leaving = machine.scale_in.leaving_shard
+            if leaving and not self.writer.leaving(shard.shard_id, machine_id):
+                machine.scale_in.leaving_shard = leaving = False  # its move was cancelled
+                shard.needs_replan = True
+            occupied = self.writer.is_occupied(shard.shard_id, machine_id)
+            if occupied != machine.flagged_occupied:
+                machine.flagged_occupied = occupied
+                shard.needs_replan = True
+            requested = self.writer.occupancy.get(shard.shard_id, ())
+            if leaving or machine_id in requested:
                 shard.occupancy_due[machine_id] = None
 
     def _request_change(self, shard: Shard, machine: Machine, entry: MachineEntry) -> None:
         """Request another flag if the one in the record, or requested already, is not right."""
+        machine_id, context = machine.machine_id, self.context
         requested = self.writer.occupancy.get(shard.shard_id, {})
-        flagged = requested.get(machine.machine_id, entry.occupied)
-        unfenced = (
-            self.context.now < machine.fencing.unfenced_heartbeat_at + self.context.timing.lease_s
-        )
-        unreconciled = machine.machine_id in shard.unreconciled
+        flagged = requested.get(machine_id, entry.occupied)
+        unfenced = context.now < machine.fencing.unfenced_heartbeat_at + context.timing.lease_s
+        unreconciled = machine_id in shard.unreconciled
         may_hold_tasks = machine.heartbeat.online or bool(machine.runs) or unreconciled or unfenced
         if (machine.usable or unfenced) and not flagged:
-            self._set_occupied(shard, machine.machine_id, True)
-        elif not may_hold_tasks and flagged and machine.granted_at < self.context.now:
-            self._set_occupied(shard, machine.machine_id, False)
+            self._set_occupied(shard, machine_id, True)
+        elif not may_hold_tasks and flagged and machine.granted_at < context.now:
+            self._set_occupied(shard, machine_id, False)
 
     def _set_occupied(self, shard: Shard, machine_id: str, occupied: bool) -> None:
         self.writer.set_occupied(shard.shard_id, machine_id, occupied)
         shard.decisions.machine_occupancy_changed(machine_id, occupied)
-
-    def _read_back(self, shard: Shard, machine: Machine) -> None:
-        """Take over from the writer what has become of earlier requests."""
-        if machine.scale_in.leaving_shard and not self.writer.leaving(
-            shard.shard_id, machine.machine_id
-        ):
-            machine.scale_in.leaving_shard = False  # its move was cancelled
-            shard.needs_replan = True
-        occupied = self.writer.is_occupied(shard.shard_id, machine.machine_id)
-        if occupied != machine.flagged_occupied:
-            machine.flagged_occupied = occupied
-            shard.needs_replan = True
-
-    def _is_flag_requested(self, shard: Shard, machine_id: str) -> bool:
-        return machine_id in self.writer.occupancy.get(shard.shard_id, ())
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -64,7 +64,7 @@
         # The record needs a newer revision, to raise machines' tokens and to count attempts with.
         self.needs_new_revision = False
 
-        # Machines, in the record's order.
+        # Machines by machine_id, at first in the record's order; an extension may rearrange them.
         self.machines = {
             machine_id: Machine(machine_id, entry, mod_revision, context.now)
             for machine_id, entry in record.machines.items()
