--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -1,24 +1,29 @@
-"""What a holder learns from the reports of its block's machines."""
+"""Applies newer states of a shard's machines: from heartbeats and responses to direct commands."""
 
 from __future__ import annotations
 
 import logging
 
 from fallpulley.context import ControllerContext
-from fallpulley.jobs.messages import JobKind, parse_task_id
-from fallpulley.jobs.open_job import OpenJob
 from fallpulley.shards.commands import MachineCommands
 from fallpulley.shards.lease_expiry import LeaseExpiry
+from fallpulley.shards.preemption_notice import stop_tasks_for_preemption
 from fallpulley.shards.shard import Shard
-from fallpulley.workers.heartbeat_changes import HeartbeatChanges, apply_heartbeat
-from fallpulley.workers.machine import Machine, TaskRun
-from fallpulley.workers.messages import START_REFUSALS, ExitReason, Heartbeat, TaskState, TaskStatus
+from fallpulley.shards.task_changes import TaskChanges
+from fallpulley.shards.token_check import TokenCheck
+from fallpulley.workers.heartbeat_changes import (
+    HeartbeatChanges,
+    apply_direct_status,
+    apply_heartbeat,
+)
+from fallpulley.workers.machine import Machine
+from fallpulley.workers.messages import Heartbeat
 
 log = logging.getLogger(__name__)
 
 
 class HeartbeatIntake:
-    """Takes reports in, from check-ins and from answers to direct commands."""
+    """Brings a shard up to date with what its machines send."""
 
     def __init__(
         self,
@@ -31,55 +36,68 @@
         self.shard = shard
         self.commands = commands
         self.lease_expiry = lease_expiry
+        self.token_check = TokenCheck(context, shard)
+        self.task_changes = TaskChanges(context, shard)
 
-    def handle(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
-        """Take in a report; False when it is not newer than what we know."""
-        newer = self._apply(machine, heartbeat, is_heartbeat)
-        if newer:
-            self.lease_expiry.watch(machine)
-        return newer
-
-    def _apply(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
-        now = self.context.now
+    def handle_heartbeat(self, machine: Machine, heartbeat: Heartbeat) -> bool:
+        """Apply a heartbeat; False when it is not newer than what is known."""
         if not machine.heartbeat.is_newer(heartbeat):
             return False
         if machine.is_unchanged(heartbeat):
             machine.heartbeat.sequence = heartbeat.sequence
-            self._mark_online(machine, is_heartbeat)
-            return True
-        machine.snapshot = None
-        was_usable = machine.usable
-        self._check_token(machine, heartbeat)
-        if not machine.fencing.fenced:
-            # Perhaps a late copy from before we had it: this renews nothing and proves nothing.
-            machine.heartbeat.agent_epoch, machine.heartbeat.sequence = (
-                heartbeat.agent_epoch,
-                heartbeat.sequence,
-            )
-            machine.fencing.unfenced_heartbeat_at = now
+            self._set_online(machine)
+        else:
+            machine.snapshot = None
+            was_usable = machine.usable
+            if self.token_check.apply_token(machine, heartbeat):
+                changes = apply_heartbeat(machine, heartbeat, self.context.now)
+                self._set_online(machine)
+                self._apply_changes(machine, changes, was_usable)
+        self.lease_expiry.watch(machine)
+        return True
+
+    def handle_direct_status(self, machine: Machine, status: Heartbeat) -> None:
+        """Apply the response to a direct command, unless something newer is known.
+
+        It shows what is on the machine, but not that the machine's own heartbeats reach us.
+        """
+        if not machine.heartbeat.is_newer(status):
+            return
+        if machine.is_unchanged(status):
+            machine.heartbeat.sequence = status.sequence
+        else:
+            machine.snapshot = None
+            was_usable = machine.usable
+            if self.token_check.apply_token(machine, status):
+                changes = apply_direct_status(machine, status, self.context.now)
+                self._apply_changes(machine, changes, was_usable)
+        self.lease_expiry.watch(machine)
+
+    def _set_online(self, machine: Machine) -> None:
+        if not machine.heartbeat.online:
+            self.shard.needs_replan = True
             self.shard.occupancy_due[machine.machine_id] = None
-            return True
-        outcome = apply_heartbeat(machine, heartbeat, now, is_heartbeat)
-        if is_heartbeat:
-            self._mark_online(machine, is_heartbeat)
-        if outcome.start_missed and machine.fencing.unacknowledged_since is None:
-            self._mark_unacknowledged(machine)
-        self._apply_outcome(machine, outcome)
+            log.info(
+                "machine online machine=%s epoch=%d",
+                machine.machine_id,
+                machine.heartbeat.agent_epoch,
+            )
+            self.shard.decisions.machine_reachability_changed(machine.machine_id, True)
+        machine.heartbeat.online = machine.heartbeat.ever_online = True
+        machine.heartbeat.received_at = self.shard.last_heartbeat_at = self.context.now
+
+    def _apply_changes(self, machine: Machine, changes: HeartbeatChanges, was_usable: bool) -> None:
+        """`was_usable`: whether the machine was usable before it sent this."""
+        if changes.start_missed and machine.fencing.unacknowledged_since is None:
+            self.token_check.require_new_token(machine)
+        self.task_changes.apply(machine, changes)
         if self.shard.unreconciled and machine.machine_id in self.shard.unreconciled:
-            self.shard.unreconciled.discard(machine.machine_id)
-            if not self.shard.unreconciled:
-                log.info(
-                    "block confirmed block=%s term=%d",
-                    self.shard.shard_id,
-                    self.shard.fencing_token,
-                )
-            self.shard.needs_replan = True
+            self._set_reconciled(machine)
         if machine.usable != was_usable:
             self.shard.needs_replan = True
             self.shard.occupancy_due[machine.machine_id] = None
         if machine.scale_in.preempted_at is not None:
-            self._drain_for_preemption(machine)
-        return True
+            stop_tasks_for_preemption(self.shard, self.commands, machine)
 
     def _check_token(self, machine: Machine, heartbeat: Heartbeat) -> None:
         """Its highest token shows whether it has heard us since we last raised it."""
@@ -157,10 +175,7 @@
                 self._record_run_time(machine, job, run)
         elif run is not None:
             log.info(
-                "task ended task=%s machine=%s cause=%s",
-                status.task_id,
-                machine.machine_id,
-                status.exit_reason,
+                "shard reconciled shard=%s token=%d", self.shard.shard_id, self.shard.fencing_token
             )
             job.requeue(run.task_index)
             if status.exit_reason == ExitReason.ERROR:
@@ -222,19 +237,3 @@
         machine.runs[run.task_id] = run
         self.shard.decisions.task_started(run)
         self.shard.needs_replan = True
-        log.info("task adopted task=%s machine=%s", run.task_id, machine.machine_id)
-
-    def _drain_for_preemption(self, machine: Machine) -> None:
-        """The cloud takes the machine: tasks that cannot finish leave it while they can save."""
-        left = (machine.scale_in.preempted_at or 0.0) - self.context.now
-        for run in machine.runs.values():
-            job = self.shard.jobs.get(run.job_id)
-            if job is None or run.stop_grace_s is not None:
-                continue
-            spent = self.context.now - (run.started_at or self.context.now)
-            if run.started_at is not None and run.estimated_run_s - spent < left - 1.0:
-                continue
-            saves = job.spec.checkpoint_interval_s > 0
-            if saves and left > job.spec.checkpoint_save_s + 2 * self.context.timing.report_s:
-                continue  # there is time for more work before saving
-            self.commands.stop(run, left if saves else 0.0)
