--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -130,7 +130,7 @@
         self, shard: Shard, machine_types: dict[str, MachineType]
     ) -> list[SupplyUnit]:
         rentals = self.provider.pending_rentals(shard.shard_id)
-        adding = self.writer.adding.get(shard.shard_id, {})
+        adding = self.writer.machines_being_added(shard.shard_id)
         return (
             machine_supply(shard, machine_types, self.context.now)
             + rented_supply(rentals, machine_types)
--- a/fallpulley/fleet/supply.py
+++ b/fallpulley/fleet/supply.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 
 from fallpulley.fleet.messages import MachineType, RentalRequest
 from fallpulley.fleet.sizing import SupplyUnit
@@ -90,7 +90,7 @@
 
 
 def added_supply(
-    shard: Shard, adding: dict[str, MachineEntry], machine_types: dict[str, MachineType]
+    shard: Shard, adding: Mapping[str, MachineEntry], machine_types: dict[str, MachineType]
 ) -> list[SupplyUnit]:
     """Machines granted to the shard, by machine_id, that are not in its record yet."""
     supply = []
--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -5,6 +5,7 @@
 import msgspec
 
 from fallpulley.context import ControllerContext
+from fallpulley.effects import PendingResponse
 from fallpulley.heartbeats.responses import HeartbeatResponder
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.workers.machine import Machine
@@ -17,7 +18,7 @@
 class DeferredHeartbeat(msgspec.Struct):
     """A heartbeat of an owned machine, to be answered once the machine need not wait."""
 
-    pending_response: object
+    pending_response: PendingResponse
     agent: ShardAgent
     machine: Machine
     newer: bool  # it was newer than what was known of the machine
@@ -35,7 +36,7 @@
         self._recheck_waiting = True
 
     def add(
-        self, pending_response: object, agent: ShardAgent, machine: Machine, newer: bool
+        self, pending_response: PendingResponse, agent: ShardAgent, machine: Machine, newer: bool
     ) -> None:
         """A heartbeat that has been applied; `newer`: it was newer than what was known."""
         deadline_at = self.context.now + DEFER_INTERVALS * self.context.timing.report_s
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from fallpulley.context import ControllerContext
+from fallpulley.effects import PendingResponse
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.heartbeats.deferral import DeferredHeartbeats
 from fallpulley.heartbeats.responses import HeartbeatResponder
@@ -28,7 +29,7 @@
 class ParkedHeartbeat(msgspec.Struct):
     """A heartbeat of a machine that is being granted to a shard."""
 
-    pending_response: object
+    pending_response: PendingResponse
     heartbeat: Heartbeat
     deadline_at: float  # by the steady clock
 
@@ -61,7 +62,7 @@
         self.deferred = DeferredHeartbeats(context, self.responder)
         self._parked: list[ParkedHeartbeat] = []
 
-    def handle(self, pending_response: object, body: bytes) -> None:
+    def handle(self, pending_response: PendingResponse, body: bytes) -> None:
         """A heartbeat, still encoded."""
         heartbeat = parse_heartbeat(body)
         if heartbeat is None:
@@ -87,7 +88,9 @@
         """Answer the heartbeats that need not wait any longer for a plan or an occupancy flag."""
         self.deferred.respond()
 
-    def _route(self, pending_response: object, heartbeat: Heartbeat, deadline_at: float) -> None:
+    def _route(
+        self, pending_response: PendingResponse, heartbeat: Heartbeat, deadline_at: float
+    ) -> None:
         """`deadline_at`: until when the heartbeat may be parked."""
         if not self.watch.loaded or not self.is_serving():
             self.responder.respond_unavailable(pending_response)
@@ -115,7 +118,11 @@
         self._apply(pending_response, heartbeat, agent, machine)
 
     def _apply(
-        self, pending_response: object, heartbeat: Heartbeat, agent: ShardAgent, machine: Machine
+        self,
+        pending_response: PendingResponse,
+        heartbeat: Heartbeat,
+        agent: ShardAgent,
+        machine: Machine,
     ) -> None:
         """Apply the heartbeat to its shard, and defer the response."""
         if heartbeat.fencing_token > machine.fencing.token:
@@ -128,7 +135,7 @@
             self.writer.addresses[heartbeat.machine_id] = heartbeat.address
         self.deferred.add(pending_response, agent, machine, newer)
 
-    def _redirect(self, pending_response: object, owner: str | None) -> None:
+    def _redirect(self, pending_response: PendingResponse, owner: str | None) -> None:
         if owner is None or owner == self.context.controller_id:
             self.responder.respond_unavailable(pending_response)
             return
@@ -136,7 +143,7 @@
         self.context.respond(pending_response, HTTPStatus.MISDIRECTED_REQUEST, body)
 
     def _handle_unknown_machine(
-        self, pending_response: object, heartbeat: Heartbeat, deadline_at: float
+        self, pending_response: PendingResponse, heartbeat: Heartbeat, deadline_at: float
     ) -> None:
         """A machine of no shard: only the leader grants machines to shards."""
         if self.leadership.term is None:
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from fallpulley.context import ControllerContext
+from fallpulley.effects import PendingResponse
 from fallpulley.jobs.messages import Submission
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
@@ -48,14 +49,14 @@
         self.owned = owned
         self.is_serving = is_serving
 
-    def respond_unavailable(self, pending_response: object) -> None:
+    def respond_unavailable(self, pending_response: PendingResponse) -> None:
         """Renew nothing: the machine tries the next controller."""
         self.context.respond(
             pending_response, HTTPStatus.SERVICE_UNAVAILABLE, b"", RETRY_AFTER_SECONDS
         )
 
     def respond(
-        self, pending_response: object, agent: ShardAgent, machine: Machine, newer: bool
+        self, pending_response: PendingResponse, agent: ShardAgent, machine: Machine, newer: bool
     ) -> None:
         """Answer a heartbeat with the commands for its machine, or refuse it.
 
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -37,20 +37,14 @@
     def start(
         self, machine: Machine, job: OpenJob, booking: Booking, estimated_run_s: float
     ) -> TaskCommand | None:
-        """The order that starts a booked task; None where no attempt may be made now."""
-        if job.spec.kind != JobKind.GANG or not job.runs:
-            self.shard.needs_new_revision = (
-                self.shard.needs_new_revision or self.shard.attempt_numbers.needs_new_revision
-            )
-            attempt = self.shard.attempt_numbers.next(self.shard.fencing_token)
-            if attempt is None:
-                return None
-            job.gang.attempt = attempt
-        # The tasks of an ensemble find each other by their common attempt.
+        """The command that starts a booked task; None where no attempt may be made now."""
+        attempt = self._attempt_for(job)
+        if attempt is None:
+            return None
         run = TaskRun(
             job.job_id,
             booking.task_index,
-            job.gang.attempt,
+            attempt,
             machine.machine_id,
             self.context.now,
             estimated_run_s,
@@ -113,12 +107,12 @@
         """The attempt number of the job's next start; None where there is none to give out."""
         if job.spec.kind == JobKind.GANG and job.runs:
             # The tasks of a gang find each other by their common attempt.
-            return job.gang_attempt
+            return job.gang.attempt
         numbers = self.shard.attempt_numbers
         self.shard.needs_new_revision = self.shard.needs_new_revision or numbers.needs_new_revision
         attempt = numbers.next(self.shard.fencing_token)
         if attempt is not None:
-            job.gang_attempt = attempt
+            job.gang.attempt = attempt
         return attempt
 
     def _may_forget(self, status: TaskStatus) -> bool:
--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -44,26 +44,24 @@
             entry = entries.get(machine_id)
             if machine is None or entry is None:
                 continue
-            marked = self.writer.pending_occupancy(shard.shard_id).get(machine_id, entry.occupied)
-            self._update_machine(shard, machine, marked)
-            if machine.scale_in.leaving_shard and not self.writer.is_leaving(
-                shard.shard_id, machine_id
-            ):
-                machine.scale_in.leaving_shard = False  # its move was called off
+            self._request_change(shard, machine, entry)
+            # What has become of earlier requests.
+            leaving = machine.scale_in.leaving_shard
+            if leaving and not self.writer.is_leaving(shard.shard_id, machine_id):
+                machine.scale_in.leaving_shard = leaving = False  # its move was cancelled
                 shard.needs_replan = True
             occupied = self.writer.is_occupied(shard.shard_id, machine_id)
             if occupied != machine.flagged_occupied:
                 machine.flagged_occupied = occupied
                 shard.needs_replan = True
-            if machine.scale_in.leaving_shard or machine_id in self.writer.pending_occupancy(
-                shard.shard_id
-            ):
+            requested = self.writer.pending_occupancy(shard.shard_id)
+            if leaving or machine_id in requested:
                 shard.occupancy_due[machine_id] = None
 
     def _request_change(self, shard: Shard, machine: Machine, entry: MachineEntry) -> None:
         """Request another flag if the one in the record, or requested already, is not right."""
         machine_id, context = machine.machine_id, self.context
-        requested = self.writer.occupancy.get(shard.shard_id, {})
+        requested = self.writer.pending_occupancy(shard.shard_id)
         flagged = requested.get(machine_id, entry.occupied)
         unfenced = context.now < machine.fencing.unfenced_heartbeat_at + context.timing.lease_s
         unreconciled = machine_id in shard.unreconciled
--- a/fallpulley/shards/run_times.py
+++ b/fallpulley/shards/run_times.py
@@ -20,9 +20,8 @@
     # The estimate as it was before this run time: recording it changes the estimate.
     estimated_s = shard.estimate_run_s(job)
     machine.speed.record(run_s / estimated_s)
-    job.observed_tasks += 1
-    job.observed_run_s += run_s
+    job.run_times.record(run_s)
     job_class = job.spec.job_class
     shard.corrections.learn(job_class, job.spec.estimated_run_s, run_s)
-    shard.decisions.run_time_learned(job.job_id, job.observed_tasks, job.observed_run_s)
+    shard.decisions.run_time_learned(job.job_id, job.run_times.tasks, job.run_times.total_s)
     shard.decisions.class_correction_learned(job_class, shard.corrections.factor(job_class))
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -138,8 +138,8 @@
         """How long a task of the job runs, in seconds, without its image fetch."""
         if job.spec.kind == JobKind.SERVICE:
             return SERVICE_LEASES * self.context.timing.lease_s
-        corrected = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
-        return run_estimate(corrected, job.run_times.tasks, job.run_times.total_s)
+        corrected_s = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
+        return run_estimate(corrected_s, job.run_times.tasks, job.run_times.total_s)
 
     # -- machines --------------------------------------------------------------------------
 
--- a/fallpulley/shards/task_changes.py
+++ b/fallpulley/shards/task_changes.py
@@ -62,7 +62,7 @@
             job.runs.pop(run.task_index, None)
             self.shard.decisions.task_gone(run, status.exit_reason or "")
         if status.exit_reason == ExitReason.DONE:
-            if job.mark_completed(task.task_index, self.context.now):
+            if job.progress.record_completion(task.task_index, self.context.now):
                 log.debug("task completed task=%s machine=%s", status.task_id, machine.machine_id)
                 record_run_time(self.shard, machine, job, run)
         elif run is not None:
@@ -80,7 +80,7 @@
         job.requeue(run.task_index)
         now, timing = self.context.now, self.context.timing
         if exit_reason == ExitReason.ERROR:
-            job.record_failure(machine.machine_id, now, timing.lease_s)
+            job.retry.record_failure(machine.machine_id, now, timing.lease_s)
             machine.reliability.failed_jobs.add(job.job_id)
         elif exit_reason in START_REFUSALS:
             machine.reliability.refuses_tasks_until = now + timing.report_s
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -106,7 +106,7 @@
         for machine_id, machine in shard.machines.items():
             self._set_draining(shard, machine, machine_id in leaving)
         self._bucket.refill(self._context.now)
-        if leaving and self._bucket.tokens >= 1 and not self._writer.moving.get(shard.shard_id):
+        if leaving and self._bucket.tokens >= 1 and not self._writer.has_moves(shard.shard_id):
             self._move_empty(shard, leaving)
 
     def _cpus(self, machine: Machine) -> float:
