--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -37,7 +37,7 @@
 from fallpulley.records.shard_record import PreviousOwner
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.shards.shard import Shard
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -26,14 +26,8 @@
 from fallpulley.records.registry import CATALOG_KEY, Registry
 from fallpulley.records.shard_record import MachineEntry
 from fallpulley.records.writer import ShardWriter
-from fallpulley.state.client import (
-    Change,
-    RequestPriority,
-    TokenBucket,
-    Write,
-    WriteResult,
-    ignore_result,
-)
+from fallpulley.state.token_bucket import TokenBucket
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult, ignore_result
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -13,7 +13,7 @@
 from fallpulley.jobs.open_job import OpenJob, chunk_name, chunk_tasks, is_chunk_name
 from fallpulley.jobs.service import JOB_PREFIX, JobEntry
 from fallpulley.shards.shard import Shard
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -27,7 +27,7 @@
 from fallpulley.records.registry import TEAM_PREFIX, Registry
 from fallpulley.records.shard_record import TeamShard
 from fallpulley.settings import Team
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/membership/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -20,7 +20,7 @@
     Registry,
 )
 from fallpulley.records.shard_record import FormatMarker, PreviousOwner, Session, ShardRecord
-from fallpulley.state.client import Change, RequestPriority, Write
+from fallpulley.state.transactions import Change, RequestPriority, Write
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/records/record_update.py
+++ b/fallpulley/records/record_update.py
@@ -13,7 +13,7 @@
 from fallpulley.records.machine_encoding import MachineEntry, Machines, without_addresses
 from fallpulley.records.registry import SHARD_PREFIX, page_key
 from fallpulley.records.shard_record import MachinePage, ShardRecord, encode_page
-from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change
+from fallpulley.state.transactions import MAX_TRANSACTION_BYTES, Change
 
 # A record with more machines is laid out in parts: every controller decodes all of a value at each
 # of its changes, which takes 2 ms of a whole core for as many, and 20 ms on a tenth of one.
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -15,7 +15,7 @@
 from fallpulley.records.record_update import RecordLimits, RecordUpdate, ShardChange, update_record
 from fallpulley.records.registry import RELEASE_PREFIX, SHARD_PREFIX, Registry
 from fallpulley.records.shard_record import MachineEntry, Machines, ReleaseRecord, ShardRecord
-from fallpulley.state.client import (
+from fallpulley.state.transactions import (
     MAX_TRANSACTION_BYTES,
     Change,
     RequestPriority,
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -39,7 +39,7 @@
     change,
     done_before,
 )
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult, ignore_result
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult, ignore_result
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -34,7 +34,7 @@
     pack,
 )
 from fallpulley.standby.replica import JobCopy, MachineCopy, Snapshot
-from fallpulley.state.client import TokenBucket
+from fallpulley.state.token_bucket import TokenBucket
 from fallpulley.workers.machine import Machine, TaskRun
 
 # Entries in a message, and machines or jobs in a part of a snapshot: packed, some 10 KiB.
--- a/fallpulley/state/watch_cache.py
+++ b/fallpulley/state/watch_cache.py
@@ -1,199 +1,157 @@
-"""This controller's copy of the watched keys, and rounds of reads that bring it up to date.
+"""The watch cache: this controller's copy of the shared records' keys and revisions.
 
 All shared records live under one prefix and so arrive in one order: whoever has seen a change
-has seen every earlier one. The fencing rules of `blocks` lean on that.
+has seen every earlier one. The fencing rules of `shards` depend on that.
 """
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
-from typing import TypeVar
-
-import msgspec
+from http import HTTPStatus
 
 from fallpulley.effects import RESPONSE_TOO_LONG, Response
-from fallpulley.state.client import RequestPriority, StateClient
+from fallpulley.state.client import StateClient
+from fallpulley.state.current_reads import CurrentHandler, CurrentReads
+from fallpulley.state.messages import Event, Events, Item, decode
+from fallpulley.state.paged_load import PagedLoad
+from fallpulley.state.transactions import RequestPriority
 
 log = logging.getLogger(__name__)
 
 ROOT_PREFIX = "live/"
-PAGE_SIZE = 400  # keys asked for at once: a few hundred KiB at the most, parsed in one go
-ROUND_TIMEOUT_SECONDS = (
-    1.2  # a round that takes longer counts as failed: users wait 2 s for an answer
-)
-
-
-class _Item(msgspec.Struct, rename={"key": "k", "value": "v", "mod_revision": "stamp"}):
-    key: str
-    value: msgspec.Raw
-    mod_revision: int
-
-
-class _Page(msgspec.Struct, rename={"items": "pairs", "revision": "ledger"}):
-    items: list[_Item]
-    has_next: bool
-    revision: int
-
-
-class _Event(msgspec.Struct, rename={"mod_revision": "stamp", "delete": "drop", "value": "v"}):
-    mod_revision: int
-    set: str | None = None
-    delete: str | None = None
-    value: msgspec.Raw = msgspec.Raw(b"null")
-
+# Pauses after a load (from its start) and after a watch that failed.
+LOAD_RETRY_SECONDS = 0.5
+WATCH_RETRY_SECONDS = 0.4
+# Beyond the time for which the service may hold a watch open.
+WATCH_TIMEOUT_MARGIN_SECONDS = 1.5
 
-class _Changes(msgspec.Struct, rename={"revision": "ledger", "events": "news"}):
-    revision: int
-    events: list[_Event] = []
-
-
-T = TypeVar("T")
-
-Waiter = Callable[[bool], None]
+# Gets a key, its encoded value (None: deleted) and the revision of the change.
 KeyChangedHandler = Callable[[str, bytes | None, int], None]
 
 
 def _ignore_change(key: str, value: bytes | None, mod_revision: int) -> None:
-    pass
+    """The handler until somebody subscribes."""
 
 
 class WatchCache:
+    """Loads all keys by pages, then watches them.
+
+    `loaded` says that all keys were read once; `ready` that a watch has succeeded since, so that
+    the copy is complete. `fresh_at` is when the last successful watch or read was sent.
+    """
+
     def __init__(self, client: StateClient, wait_s: float, min_interval_s: float) -> None:
+        """`wait_s`: how long the service holds a watch open; `min_interval_s`: between watches."""
         self.client = client
-        self._on_key_changed: KeyChangedHandler = _ignore_change
         self.wait_s = wait_s
         self.min_interval_s = min_interval_s
+        # By key; negative: the revision at which the key was deleted.
         self.mod_revisions: dict[str, int] = {}
-        self.revision = 0
+        self.revision = 0  # of the store, up to which all changes are applied
         self.loaded = False
         self.ready = False
-        self.fresh_at = float("-inf")  # when the last successful look was sent
-        self._loading = False
-        self._load_keys: set[str] = set()
-        self._load_revision = 0
+        self.fresh_at = float("-inf")
+        self._on_key_changed: KeyChangedHandler = _ignore_change
+        self._load = PagedLoad(
+            client, ROOT_PREFIX, self._on_item, self._on_loaded, self._on_load_failed
+        )
+        self._current_reads = CurrentReads(client, self._on_events)
         self._watching = False
-        self._next_watch_at = float("-inf")
-        self._waiters: list[tuple[Waiter, float]] = []
-        self._round_in_flight = False
+        self._next_request_at = float("-inf")  # of a watch or a load
 
     def subscribe(self, on_key_changed: KeyChangedHandler) -> None:
         """Call this for every change, in the order of the store's revisions."""
         self._on_key_changed = on_key_changed
 
     def mod_revision(self, key: str) -> int:
-        """The key's stamp as a condition: 0 where it does not exist."""
+        """The key's revision as a condition of a write: 0 where it does not exist."""
         return max(0, self.mod_revisions.get(key, 0))
 
+    def when_current(self, on_current: CurrentHandler, now: float) -> None:
+        """Call `on_current` after a read that is sent from now on, with whether it succeeded."""
+        self._current_reads.add(on_current, now)
+
     def tick(self, now: float) -> None:
-        if not self.loaded and not self._loading:
-            if now >= self._next_watch_at:
-                self._load_page(now, "")
-            self._expire_waiters(now)
+        """Queue the requests that are needed now."""
+        if not self.loaded:
+            if not self._load.in_progress and now >= self._next_request_at:
+                self._load.start(now)
+            self._current_reads.expire(now)
             return
-        if self._loading:
-            self._expire_waiters(now)
-            return
-        if self._waiters and not self._round_in_flight:
-            self._start_round(now)
-        if not self._watching and now >= self._next_watch_at:
+        if self._current_reads.needed:
+            self._current_reads.start(self._events_path(0.0), now)
+        if not self._watching and now >= self._next_request_at:
             self._start_watch(now)
 
-    def when_current(self, waiter: Waiter, now: float) -> None:
-        """Call `waiter` after a round begun from now on, with whether it succeeded."""
-        self._waiters.append((waiter, now + ROUND_TIMEOUT_SECONDS))
+    # -- loading ---------------------------------------------------------------------------
 
-    # -- loading by pages ------------------------------------------------------------------
+    def _on_item(self, item: Item) -> None:
+        self._apply(item.key, bytes(item.value), item.mod_revision)
 
-    def _load_page(self, now: float, after: str) -> None:
-        self._loading = True
-        path = f"/store?under={ROOT_PREFIX}&page={PAGE_SIZE}" + (f"&after={after}" if after else "")
+    def _on_loaded(self, keys: set[str], revision: int) -> None:
+        """Known keys that no page held were deleted, unless they were created since."""
+        for key, mod_revision in list(self.mod_revisions.items()):
+            if 0 < mod_revision <= revision and key not in keys:
+                self._apply(key, None, revision)
+        self.revision = revision
+        self.loaded = True
+        self._next_request_at = float("-inf")
 
-        def on_response(response: Response) -> None:
-            page = _decode(response.body, _Page) if response.ok else None
-            if page is None:
-                self._loading = False
-                self._load_keys = set()
-                self._next_watch_at = now + 0.5
-                return
-            if not after:
-                self._load_keys = set()
-                self._load_revision = page.revision
-            for item in page.items:
-                self._load_keys.add(item.key)
-                self._apply(item.key, bytes(item.value), item.mod_revision)
-            if page.has_next and page.items:
-                self._load_page(now, page.items[-1].key)
-                return
-            for key, mod_revision in list(self.mod_revisions.items()):
-                if (
-                    mod_revision > 0
-                    and key not in self._load_keys
-                    and mod_revision <= self._load_revision
-                ):
-                    self._apply(key, None, self._load_revision)
-            self.revision = self._load_revision
-            self.loaded = True
-            self._loading = False
-            self._next_watch_at = float("-inf")
-
-        self.client.request(path, on_response, RequestPriority.READ, timeout_s=5.0)
+    def _on_load_failed(self, started_at: float) -> None:
+        self._next_request_at = started_at + LOAD_RETRY_SECONDS
 
     # -- watching --------------------------------------------------------------------------
 
+    def _events_path(self, wait_s: float) -> str:
+        wait_ms = int(wait_s * 1000)
+        return f"/changes?under={ROOT_PREFIX}&after={self.revision}&hold_ms={wait_ms}"
+
     def _start_watch(self, now: float) -> None:
         self._watching = True
-        # The first look after a load waits for nothing: only then is the copy complete.
+        # The first watch after a load waits for nothing: only then is the copy complete.
         wait_s = self.wait_s if self.ready else 0.0
-        path = f"/changes?under={ROOT_PREFIX}&after={self.revision}&hold_ms={int(wait_s * 1000)}"
 
         def on_response(response: Response) -> None:
             self._watching = False
-            ok = self._handle_changes(response)
-            self._next_watch_at = max(now, response.sent_at) + (self.min_interval_s if ok else 0.4)
-
-        self.client.request(path, on_response, RequestPriority.READ, timeout_s=wait_s + 1.5)
-
-    def _start_round(self, now: float) -> None:
-        waiters, self._waiters = self._waiters, []
-        self._round_in_flight = True
-        path = f"/changes?under={ROOT_PREFIX}&after={self.revision}&hold_ms=0"
-
-        def on_response(response: Response) -> None:
-            self._round_in_flight = False
-            ok = self._handle_changes(response)
-            for waiter, _ in waiters:
-                waiter(ok)
+            succeeded = self._on_events(response)
+            pause_s = self.min_interval_s if succeeded else WATCH_RETRY_SECONDS
+            self._next_request_at = max(now, response.sent_at) + pause_s
 
         self.client.request(
-            path,
+            self._events_path(wait_s),
             on_response,
             RequestPriority.READ,
-            timeout_s=ROUND_TIMEOUT_SECONDS,
-            expires_at=now + ROUND_TIMEOUT_SECONDS,
+            timeout_s=wait_s + WATCH_TIMEOUT_MARGIN_SECONDS,
         )
 
-    def _handle_changes(self, response: Response) -> bool:
-        if response.status in (410, RESPONSE_TOO_LONG):
+    def _on_events(self, response: Response) -> bool:
+        """Apply the response of a watch or a current read; False if it failed."""
+        if response.status in (HTTPStatus.GONE, RESPONSE_TOO_LONG):
             # Read again by pages: asked once more, the changes of a long gap are only more.
-            log.info("changes are read anew after=%d status=%d", self.revision, response.status)
+            log.info("watch lost revision=%d status=%d", self.revision, response.status)
             self.loaded = self.ready = False
             return False
-        changes = _decode(response.body, _Changes) if response.ok else None
-        if changes is None or not self.loaded:
+        events = decode(response.body, Events) if response.ok else None
+        if events is None or not self.loaded:
             return False
-        for event in changes.events:
-            if event.set is not None:
-                self._apply(event.set, bytes(event.value), event.mod_revision)
-            elif event.delete is not None:
-                self._apply(event.delete, None, event.mod_revision)
-        self.revision = max(self.revision, changes.revision)
+        for event in events.events:
+            self._apply_event(event)
+        self.revision = max(self.revision, events.revision)
         self.fresh_at = max(self.fresh_at, response.sent_at)
         self.ready = True
         return True
 
+    # -- applying --------------------------------------------------------------------------
+
+    def _apply_event(self, event: Event) -> None:
+        if event.set is not None:
+            self._apply(event.set, bytes(event.value), event.mod_revision)
+        elif event.delete is not None:
+            self._apply(event.delete, None, event.mod_revision)
+
     def _apply(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        # A dropped key keeps the drop's revision as a negative stamp, so that an answer
+        # A deleted key keeps the deletion's revision as a negative one, so that a response
         # that was overtaken on its way cannot bring the key back.
         if mod_revision <= abs(self.mod_revisions.get(key, 0)):
             return
@@ -201,19 +159,5 @@
         try:
             self._on_key_changed(key, value, mod_revision)
         except Exception:
-            # One record must not keep all later ones from being seen, and every job unknown.
+            # One record must not keep all later ones from being applied, and every job unknown.
             log.exception("record failed key=%s", key)
-
-    def _expire_waiters(self, now: float) -> None:
-        if self._waiters and self._waiters[0][1] <= now:
-            late = [waiter for waiter, until in self._waiters if until <= now]
-            self._waiters = [entry for entry in self._waiters if entry[1] > now]
-            for waiter in late:
-                waiter(False)
-
-
-def _decode(body: bytes, shape: type[T]) -> T | None:
-    try:
-        return msgspec.json.decode(body, type=shape)
-    except msgspec.MsgspecError:
-        return None
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -21,7 +21,9 @@
 from fallpulley.jobs.messages import JobRecord, parse_submission
 from fallpulley.jobs.open_job import OpenJob, chunk_tasks
 from fallpulley.settings import SettingsError, load
-from fallpulley.state.client import Change, RequestPriority, StateClient, TokenBucket, Write
+from fallpulley.state.client import StateClient
+from fallpulley.state.token_bucket import TokenBucket
+from fallpulley.state.transactions import Change, RequestPriority, Write
 from fallpulley.wire.limit import AdaptiveLimit
 from fallpulley.workers.machine import TaskRun
 from tests.world import job, settings
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -23,7 +23,8 @@
 - `blocks`: `layout.RecordLimits`, `Wishes`, `Edit`. `BlockRecord`, `BlockHead`, `Part` and
   `MachineEntry` are what block records are read into; `_BlockWire`, `_PartWire`, `_Group`, `_Run`
   and `_Kind` are what stands in the bytes, and have goldens too.
-- `state.client`: `_Read`. `Change` and `Write` become the body of a transaction.
+- `state`: `client._QueuedRequest`, `transactions.WriteResult`. `Change` and `Write` become the body
+  of a transaction.
 - `workers`: `checkins.DeferredCheckin`, `ParkedCheckin`, `machine.Run`, `Outcome`.
 - `fleet.sizing`: all.
 - `standby`: `takeover.Expected`, `stream.Limits`, `Position`, `replica.Replica`,
@@ -59,8 +60,8 @@
 from fallpulley.shares import messages as shares
 from fallpulley.standby import entries, replica
 from fallpulley.standby import messages as standby
-from fallpulley.state import client
-from fallpulley.state import watch_cache as view
+from fallpulley.state import client, transactions
+from fallpulley.state import messages as state
 from fallpulley.workers import messages as workers
 
 
@@ -111,8 +112,8 @@
     conditions, changes = write
     calls: list[Any] = []
     sender = client.StateClient("state:1", 1000.0, 1000.0, 16, calls.append)
-    encoded = [client.Change(k, v and v.encode(), tenure) for k, v, tenure in changes]
-    sender.write(client.Write(conditions, encoded, client.ignore_result))
+    encoded = [transactions.Change(k, v and v.encode(), tenure) for k, v, tenure in changes]
+    sender.write(transactions.Write(conditions, encoded, transactions.ignore_result))
     sender.send_queued(0.0)
     (call,) = calls
     _, method, path, body, *_ = msgspec.structs.astuple(call)
@@ -209,9 +210,9 @@
     "lease request": Kind(dict, json.loads, encode_lease_request),
     "lease grant": read_only(blocks.LeaseGrant),
     "transaction": Kind(list, decode_transaction, encode_transaction),
-    "transaction answer": read_only(client._TransactionResponse),
-    "page": read_only(view._Page),
-    "changes": read_only(view._Changes),
+    "transaction answer": read_only(transactions.TransactionResponse),
+    "page": read_only(state.Page),
+    "changes": read_only(state.Events),
     "progress page": read_only(persistence._Page),
     "progress pair": read_only(persistence._Item),
     # Stored records.
