--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -12,7 +12,7 @@
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
-from fallpulley.mesh.messages import MachineRequest
+from fallpulley.mesh.messages import MachineRequest, TaskCount
 from fallpulley.mesh.peers import Peers
 from fallpulley.mesh.task_counts import TaskCountRotation
 from fallpulley.placement.planner import Planner
@@ -113,7 +113,7 @@
         for extension in self.extensions:
             extension.on_shards_checked()
         self.writer.tick()
-        if self.peers.is_due():
+        if self.peers.is_heartbeat_due():
             self._exchange_with_peers(term is not None)
 
     def _tick_shard(self, agent: ShardAgent, occupancy_due: bool, leading: bool) -> None:
@@ -160,12 +160,12 @@
         machine_requests = [
             request for requests in self._machine_requests.values() for request in requests
         ]
-        self.peers.tick(
+        self.peers.send_heartbeat(
             self.health.staleness_s(), task_counts, machine_requests, self.provider.target_sizes
         )
         self._machine_requests = {}
 
-    def _current_task_counts(self) -> list[tuple[str, int, int]]:
+    def _current_task_counts(self) -> list[TaskCount]:
         """Completed and running tasks of owned jobs, as many as one heartbeat takes."""
         task_counts = {}
         for shard in self.owned.shards.values():
--- a/fallpulley/mesh/messages.py
+++ b/fallpulley/mesh/messages.py
@@ -1,12 +1,25 @@
-"""What controllers tell each other: tagged tuples, once in a while, never needed for safety."""
+"""Messages between controllers: sent about once a second, never needed for safety."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
+# Peers accept messages as POST requests to this path of their mesh address.
+PEER_MESSAGES_PATH = "/beat"
+
+
+class TaskCount(NamedTuple):
+    """How many tasks of a job are completed and running; an array on the wire."""
+
+    job_id: str
+    completed: int
+    running: int
+
 
 class MachineRequest(msgspec.Struct, array_like=True):
-    """Machines that a block's holder asks the leader for."""
+    """Machines that a shard's owner asks the leader for."""
 
     shard_id: str
     machine_type: str
@@ -16,20 +29,20 @@
 
 
 class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
-    """A sign of life: how fresh the sender's copy is, and its jobs' counts for display."""
+    """Shows that a controller is live, how fresh its watch cache is, and its jobs' progress."""
 
     controller_id: str
     incarnation: str
-    sent_at: float  # time of day: a copy may come late
-    staleness_s: float
-    task_counts: list[tuple[str, int, int]]
+    sent_at: float  # wall time, in seconds since the epoch: a message may be delivered late
+    staleness_s: float  # the age of the sender's last successful watch
+    task_counts: list[TaskCount]  # for display
     machine_requests: list[MachineRequest]
-    target_sizes: dict[str, int] = {}  # of the leader: block -> machines it should have
+    target_sizes: dict[str, int] = {}  # from the leader: shard_id -> machines it should have
 
 
 class Cancellations(msgspec.Struct, tag="called_off", array_like=True):
-    """Jobs whose cancellation is durable, told to their block's holder at once: one that cannot
-    read the records stops them sooner than its answer window would."""
+    """Jobs whose cancellation is durable, sent to their shard's owner at once: one that cannot
+    read the records stops them sooner than its lease would."""
 
     job_ids: list[str]
 
@@ -38,6 +51,7 @@
 
 
 def decode(body: bytes) -> PeerMessageBody | None:
+    """The message; None if it is malformed or of a kind that this version does not know."""
     try:
         return msgspec.json.decode(body, type=PeerMessageBody)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -1,114 +1,140 @@
-"""Heartbeats between controllers: job counts, requests for machines, who sees what."""
+"""Messages to and from the other controllers, and what their heartbeats say about them."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import ignore_response
 from fallpulley.mesh.messages import (
+    PEER_MESSAGES_PATH,
     Cancellations,
     MachineRequest,
     PeerHeartbeat,
     PeerMessageBody,
+    TaskCount,
     decode,
 )
 
 HEARTBEAT_SECONDS = 1.0
 # A peer whose last heartbeat is older than this says nothing about the present.
 RECENT_HEARTBEATS = 3.5
-# Our copy is behind when it was not refreshed for so many heartbeats while a peer's was.
+RECENT_SECONDS = RECENT_HEARTBEATS * HEARTBEAT_SECONDS
+# Our watch cache is stale when it was not refreshed for so many heartbeats while a peer's was.
 STALE_HEARTBEATS = 3.0
-
+STALE_SECONDS = STALE_HEARTBEATS * HEARTBEAT_SECONDS
+# What a controller that never read the records sends as its staleness.
+MAX_STALENESS_SECONDS = 1e6
 # Jobs in one message about cancellations.
 MAX_CANCELLATIONS = 1000
 
 
+class ReceivedHeartbeat(NamedTuple):
+    """A peer's last heartbeat and when it arrived, by this controller's monotonic clock."""
+
+    heartbeat: PeerHeartbeat
+    received_at: float
+
+
 class Peers:
+    """The other controllers, as this one hears from them."""
+
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        self.heartbeats: dict[str, tuple[PeerHeartbeat, float]] = {}
-        self._next = float("-inf")
+        self.last_heartbeats: dict[str, ReceivedHeartbeat] = {}  # by controller_id
+        self._next_heartbeat_at = float("-inf")
+
+    # -- sending ---------------------------------------------------------------------------
+
+    def is_heartbeat_due(self) -> bool:
+        """It is time for this controller's next heartbeat."""
+        return self.context.now >= self._next_heartbeat_at
 
-    def tick(
+    def send_heartbeat(
         self,
         staleness_s: float,
-        task_counts: list[tuple[str, int, int]],
+        task_counts: list[TaskCount],
         machine_requests: list[MachineRequest],
         target_sizes: dict[str, int],
     ) -> None:
-        now = self.context.now
-        if now < self._next:
-            return
-        self._next = now + HEARTBEAT_SECONDS
-        body = msgspec.json.encode(
-            PeerHeartbeat(
-                self.context.controller_id,
-                self.context.incarnation,
-                self.context.wall_time,
-                min(staleness_s, 1e6),
-                task_counts,
-                machine_requests,
-                target_sizes,
-            )
+        """Send this controller's heartbeat to all peers."""
+        self._next_heartbeat_at = self.context.now + HEARTBEAT_SECONDS
+        heartbeat = PeerHeartbeat(
+            self.context.controller_id,
+            self.context.incarnation,
+            self.context.wall_time,
+            min(staleness_s, MAX_STALENESS_SECONDS),
+            task_counts,
+            machine_requests,
+            target_sizes,
         )
-        for seed in self.context.settings.peers:
-            self._post(seed.address, body)
+        body = msgspec.json.encode(heartbeat)
+        for peer in self.context.settings.peers:
+            self._post(peer.address, body)
 
-    def is_due(self) -> bool:
-        return self.context.now >= self._next
-
-    def send_cancellations(self, controller_id: str, jobs: list[str]) -> None:
-        """Tell a block's holder of cancellations; nothing is lost if it does not hear."""
-        for at in range(0, len(jobs), MAX_CANCELLATIONS):
-            self.send(
-                controller_id, msgspec.json.encode(Cancellations(jobs[at : at + MAX_CANCELLATIONS]))
-            )
+    def send_cancellations(self, controller_id: str, job_ids: list[str]) -> None:
+        """Notify a shard's owner of cancelled jobs; losing the message does no harm."""
+        for start in range(0, len(job_ids), MAX_CANCELLATIONS):
+            message = Cancellations(job_ids[start : start + MAX_CANCELLATIONS])
+            self.send(controller_id, msgspec.json.encode(message))
 
     def send(self, controller_id: str, body: bytes) -> None:
-        """One message to a peer; whether it came is not known."""
-        for seed in self.context.settings.peers:
-            if seed.controller_id == controller_id:
-                self._post(seed.address, body)
+        """Send an encoded message to one peer; whether it arrives is not known."""
+        for peer in self.context.settings.peers:
+            if peer.controller_id == controller_id:
+                self._post(peer.address, body)
 
     def _post(self, address: str, body: bytes) -> None:
-        self.context.call(address, "POST", "/beat", body, HEARTBEAT_SECONDS, ignore_response)
+        self.context.call(
+            address, "POST", PEER_MESSAGES_PATH, body, HEARTBEAT_SECONDS, ignore_response
+        )
+
+    # -- receiving -------------------------------------------------------------------------
 
     def receive(self, body: bytes) -> PeerMessageBody | None:
-        """The message; None for a heartbeat that is a late copy or overtaken by a newer one: a
-        controller that is cut off must not seem to be there because an old one arrives."""
-        heartbeat = decode(body)
-        if not isinstance(heartbeat, PeerHeartbeat):
-            return heartbeat
-        last = self.heartbeats.get(heartbeat.controller_id)
-        skew_s = 2 * self.context.settings.facts.skew_ms / 1000
-        late = (
-            self.context.wall_time - heartbeat.sent_at
-            > RECENT_HEARTBEATS * HEARTBEAT_SECONDS + skew_s
-        )
-        if late or (last is not None and heartbeat.sent_at <= last[0].sent_at):
+        """Decode a message and record a heartbeat.
+
+        None for a malformed message, and for a heartbeat that is a late copy or older than the
+        last: a controller that is cut off must not seem live because an old one arrives.
+        """
+        message = decode(body)
+        if not isinstance(message, PeerHeartbeat):
+            return message
+        if self._is_late(message):
             return None
-        self.heartbeats[heartbeat.controller_id] = (heartbeat, self.context.now)
-        return heartbeat
+        last = self.last_heartbeats.get(message.controller_id)
+        if last is not None and message.sent_at <= last.heartbeat.sent_at:
+            return None
+        self.last_heartbeats[message.controller_id] = ReceivedHeartbeat(message, self.context.now)
+        return message
+
+    def _is_late(self, heartbeat: PeerHeartbeat) -> bool:
+        """Sent too long ago, even if both controllers' clocks are wrong by the allowed skew."""
+        skew_s = 2 * self.context.settings.facts.skew_ms / 1000
+        return self.context.wall_time - heartbeat.sent_at > RECENT_SECONDS + skew_s
+
+    # -- liveness --------------------------------------------------------------------------
 
     def is_recent(self, controller_id: str) -> bool:
-        entry = self.heartbeats.get(controller_id)
-        return (
-            entry is not None
-            and self.context.now - entry[1] < RECENT_HEARTBEATS * HEARTBEAT_SECONDS
-        )
+        """The peer's last heartbeat is recent: it is live and can be reached."""
+        last = self.last_heartbeats.get(controller_id)
+        return last is not None and self.context.now - last.received_at < RECENT_SECONDS
 
     def has_no_live_peer(self) -> bool:
-        return not any(self.is_recent(controller_id) for controller_id in self.heartbeats)
+        """No peer's last heartbeat is recent."""
+        return not any(self.is_recent(controller_id) for controller_id in self.last_heartbeats)
 
     def is_stale(self, fresh_at: float) -> bool:
-        """Peers reached the state service clearly after we last did.
+        """A peer reached the state service clearly after this controller last did, at `fresh_at`.
 
-        A heartbeat's age counts: in an outage of the service everybody's last look is as old as
+        A heartbeat's age counts: in an outage of the service everybody's last watch is as old as
         ours, whatever a heartbeat of some seconds ago said.
         """
-        late = fresh_at + STALE_HEARTBEATS * HEARTBEAT_SECONDS
+        stale_before = fresh_at + STALE_SECONDS
         return any(
-            self.is_recent(controller_id) and at - heartbeat.staleness_s > late
-            for controller_id, (heartbeat, at) in self.heartbeats.items()
+            self.is_recent(controller_id)
+            and last.received_at - last.heartbeat.staleness_s > stale_before
+            for controller_id, last in self.last_heartbeats.items()
         )
