--- a/fallpulley/wire/client.py
+++ b/fallpulley/wire/client.py
@@ -298,7 +298,7 @@
                 del self._idle[connection.address]
         self._next()
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Close what has been idle for long: machines come and go, sockets are few."""
         oldest = time.monotonic() - KEEP_S
         for idle in list(self._idle.values()):
--- a/tests/loopback/standins.py
+++ b/tests/loopback/standins.py
@@ -151,7 +151,7 @@
         while True:
             await anyio.sleep(5.0)
             assert self.client is not None
-            self.client.sweep()
+            self.client.close_idle()
 
     # -- users -----------------------------------------------------------------------------
 
