--- a/fallpulley/serve.py
+++ b/fallpulley/serve.py
@@ -30,7 +30,7 @@
 )
 from fallpulley.mesh.messages import PEER_MESSAGES_PATH
 from fallpulley.settings import CALL_SHARE, MESH_SHARE, SERVE_SHARE, Settings
-from fallpulley.wire.client import Client
+from fallpulley.wire.client import Client, ClientLimits
 from fallpulley.wire.limit import AdaptiveLimit
 from fallpulley.wire.server import Server
 
@@ -122,7 +122,7 @@
             tasks,
             max(MIN_SOCKETS, int(limits.sockets * CALL_SHARE)),
             [endpoints.state, endpoints.cloud, *(peer.address for peer in self.settings.peers)],
-            int(MAX_RESPONSE_MEMORY_SHARE * limits.memory_mb * 2**20),
+            ClientLimits(int(MAX_RESPONSE_MEMORY_SHARE * limits.memory_mb * 2**20)),
         )
 
     async def _close_idle_connections(self, client: Client) -> None:
--- a/fallpulley/wire/limit.py
+++ b/fallpulley/wire/limit.py
@@ -8,51 +8,54 @@
 
 import math
 
+# Times up to this many times the best are taken as undisturbed: responses that wait
+# for a current read take up to two reads, and the machine's share of a core comes in slices.
+TOLERATED_SLOWDOWN = 6.0
+# Times up to a quarter of what users wait for a response (2 s) are no reason to refuse anybody,
+# however short the best were: responses from memory take 20 ms, and while the state service
+# responded in 150 ms instead of 5 the limit sat at its minimum for 20 s and turned away two
+# hundred requests on a controller with time to spare.
+PROMPT_SECONDS = 0.5
+# Queries leave this share of the limit to submissions and cancels: their users ask again in 5 s
+# anyway.
+QUERY_SHARE = 0.75
+# Weight of one measurement in the running mean, and how fast the best time is forgotten.
+MEAN_WEIGHT = 0.05
+BEST_TIME_DRIFT = 0.002
+# The limit before anything was measured.
+INITIAL_LIMIT = 64
+
 
 class AdaptiveLimit:
-    """Gradient limit: compares the recent mean time with a slowly forgotten best time."""
-
-    # Times up to this many times the best are taken as undisturbed: answers that wait for a
-    # round of reads take up to two rounds, and the machine's share of a core comes in slices.
-    TOLERANCE = 6.0
-    # Times up to a quarter of what users wait for an answer (2 s) are no reason to refuse anybody,
-    # however short the best were: answers from memory take 20 ms, and while the state service
-    # answered in 150 ms instead of 5 the limit sat at its least for 20 s and turned away two
-    # hundred requests on a controller with time to spare.
-    PROMPT_S = 0.5
-    # Queries leave this share of the limit to submissions and cancels: their users ask again in 5 s
-    # anyway.
-    QUERY_SHARE = 0.75
-    # Weight of one measurement in the running mean, and how fast the best time is forgotten.
-    MEAN_WEIGHT = 0.05
-    BEST_DRIFT = 0.002
-
-    def __init__(self, least: int, most: int) -> None:
-        self.least, self.most = float(least), float(most)
-        self.limit = float(min(most, max(least, 64)))
+    """A gradient limit: compares the recent mean time with a slowly forgotten best time."""
+
+    def __init__(self, min_limit: int, max_limit: int) -> None:
+        """The bounds of the limit, in requests."""
+        self.min_limit, self.max_limit = float(min_limit), float(max_limit)
+        self.limit = float(min(max_limit, max(min_limit, INITIAL_LIMIT)))
         self.in_progress = 0
         self._best: float | None = None
         self._mean = 0.0
 
     def enter(self, query: bool = False) -> bool:
-        """Count a request in, or say that there is no room for it."""
-        if self.in_progress >= self.limit * (self.QUERY_SHARE if query else 1.0):
+        """Count a request in; False if there is no room for it."""
+        if self.in_progress >= self.limit * (QUERY_SHARE if query else 1.0):
             return False
         self.in_progress += 1
         return True
 
     def leave(self, took_s: float) -> None:
-        """Count a request out and learn from the time it took."""
+        """Count a request out and adjust the limit to the time it took, in seconds."""
         was_full = self.in_progress * 2 >= self.limit
         self.in_progress -= 1
         took_s = max(took_s, 1e-4)
         if self._best is None:
             self._best = self._mean = took_s
-        self._best = min(took_s, self._best * (1 + self.BEST_DRIFT))
-        self._mean += self.MEAN_WEIGHT * (took_s - self._mean)
-        undisturbed = max(self.TOLERANCE * self._best, self.PROMPT_S)
+        self._best = min(took_s, self._best * (1 + BEST_TIME_DRIFT))
+        self._mean += MEAN_WEIGHT * (took_s - self._mean)
+        undisturbed = max(TOLERATED_SLOWDOWN * self._best, PROMPT_SECONDS)
         gradient = max(0.5, min(1.0, undisturbed / self._mean))
         if gradient >= 1.0 and not was_full:
             return  # nothing to learn from a limit that is not reached
         target = self.limit * gradient + math.sqrt(self.limit)
-        self.limit = max(self.least, min(self.most, 0.9 * self.limit + 0.1 * target))
+        self.limit = max(self.min_limit, min(self.max_limit, 0.9 * self.limit + 0.1 * target))
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -248,7 +248,7 @@
 
 
 def test_the_limit_shrinks_when_answers_slow_down_and_grows_back() -> None:
-    limit = AdaptiveLimit(least=4, most=100)
+    limit = AdaptiveLimit(min_limit=4, max_limit=100)
     for _ in range(50):
         assert limit.enter()
         limit.leave(0.01)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.fencing import Fencing
 from fallpulley.shards.lease_watch import LeaseWatch
-from fallpulley.wire.server import BODY_MOST
+from fallpulley.wire.server import ServerLimits
 from tests.world import LABELS, STATE, World, job, settings
 
 MACHINES = 4500
@@ -201,7 +201,7 @@
     for beat in range(4):
         counts["job-002999"] = (beat, 1)
         entries = turn.next_entries(counts)
-        assert sum(len(str(tuple(entry))) for entry in entries) < BODY_MOST
+        assert sum(len(str(tuple(entry))) for entry in entries) < ServerLimits().max_body_bytes
         told |= {job for job, _, _ in entries}
     assert len(told) == 3000
     counts["job-002999"] = (9, 9)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 from fallpulley.effects import Request
 from fallpulley.wire.client import Client
 from fallpulley.wire.limit import AdaptiveLimit
-from fallpulley.wire.server import Server, answer_head
+from fallpulley.wire.server import Server, response_head
 
 
 def free_address() -> str:
@@ -83,7 +83,7 @@
     async def story(echo: Echo, address: str, client: Caller) -> None:
         for body in (b"one", b"two"):
             assert await client.call(address, "POST", "/work", body, 2.0) == (200, body)
-        assert len(client.client._idle[address]) == 1
+        assert client.client.idle.count(address) == 1
         for broken in (b"nonsense\r\n\r\n", b"GET / HTTP/9\r\n\r\n", b"\x00" * 100 + b"\r\n\r\n"):
             assert b" 4" in (await raw(address, broken))[:14]
         long = b"x" * (64 * 1024 + 1)
@@ -118,7 +118,7 @@
             for request in echo.kept:
                 request.pending_response(200, b"", None)
 
-    run(story, AdaptiveLimit(least=2, most=2))
+    run(story, AdaptiveLimit(min_limit=2, max_limit=2))
 
 
 def test_connections_beyond_the_share_of_sockets_are_closed() -> None:
@@ -161,7 +161,7 @@
             assert most <= 4
             # The state service waits for nobody: here are no sockets left at all.
             client.client.sockets = 0
-            client.client.first = frozenset([others[0]])
+            client.client.priority_addresses = frozenset([others[0]])
             assert (await client.call(others[0], "GET", "/up", None, 1.0))[0] == 200
             servers.cancel_scope.cancel()
 
@@ -225,16 +225,16 @@
 
 def test_heads_that_repeat_are_checked_once() -> None:
     # Hundreds of answers a second share a few heads; h11 checks each header of every new one.
-    answer_head.cache_clear()
-    heads = {id(answer_head(200, 24)) for _ in range(50)}
-    assert len(heads) == 1 and answer_head.cache_info().misses == 1
-    assert answer_head(503, 24, 1.0) is not answer_head(200, 24)
-    assert (b"retry-after", b"1") in list(answer_head(503, 24, 0.2).headers)
+    response_head.cache_clear()
+    heads = {id(response_head(200, 24)) for _ in range(50)}
+    assert len(heads) == 1 and response_head.cache_info().misses == 1
+    assert response_head(503, 24, 1.0) is not response_head(200, 24)
+    assert (b"retry-after", b"1") in list(response_head(503, 24, 0.2).headers)
 
 
 def test_the_limit_holds_while_a_slow_state_service_leaves_answers_prompt() -> None:
     # Best times of 20 ms against 0.3 s: six times the best was passed, and the limit fell to 8.
-    limit = AdaptiveLimit(least=8, most=400)
+    limit = AdaptiveLimit(min_limit=8, max_limit=400)
 
     def serve(took_s: float, times: int) -> None:
         for _ in range(times):
