--- a/fallpulley/mesh/messages.py
+++ b/fallpulley/mesh/messages.py
@@ -42,7 +42,7 @@
 
 class Cancellations(msgspec.Struct, tag="called_off", array_like=True):
     """Jobs whose cancellation is durable, sent to their shard's owner at once: one that cannot
-    read the records stops them sooner than its lease would."""
+    read the records stops them before its response window ends."""
 
     job_ids: list[str]
 
--- a/fallpulley/state/token_bucket.py
+++ b/fallpulley/state/token_bucket.py
@@ -6,7 +6,7 @@
 class TokenBucket:
     """Tokens for one budget: `rate` a second, saving up at most one second's worth.
 
-    Callers take tokens by lowering `tokens`, after a `refill`.
+    Callers refill it, and spend tokens by lowering `tokens`.
     """
 
     def __init__(self, rate: float) -> None:
--- a/fallpulley/state/transactions.py
+++ b/fallpulley/state/transactions.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-# Of the 64 KiB that a transaction may take, leaving room for its frame.
+# Of the 64 KiB that a transaction may have, leaving room for its frame.
 MAX_TRANSACTION_BYTES = 60 * 1024
 # The service allows so many conditions for each change that a transaction may hold.
 MAX_CONDITIONS_PER_CHANGE = 4
--- a/fallpulley/wire/client.py
+++ b/fallpulley/wire/client.py
@@ -179,7 +179,7 @@
                     self.abort()
                     return
             elif type(event) is h11.EndOfMessage:
-                body = self._body.take()
+                body = self._body.finish()
                 self._keep_or_close()
                 self._complete(self._status, body)
                 return
@@ -243,7 +243,7 @@
             return
         call = _Call(address, request, on_completed)
         call.timer = loop.call_later(timeout_s, call.on_timeout)
-        connection = self.idle.take(address)
+        connection = self.idle.pop(address)
         if connection is not None:
             connection.send(call)
         elif address in self.priority_addresses:
--- a/fallpulley/wire/connection.py
+++ b/fallpulley/wire/connection.py
@@ -72,7 +72,7 @@
         self._chunks.append(bytes(data))
         return True
 
-    def take(self) -> bytes:
+    def finish(self) -> bytes:
         """The whole body; the buffer is empty afterwards."""
         body = b"".join(self._chunks)
         self.clear()
--- a/fallpulley/wire/idle_connections.py
+++ b/fallpulley/wire/idle_connections.py
@@ -46,7 +46,7 @@
         if evictable:
             self._evictable[connection] = None
 
-    def take(self, address: str) -> ConnectionT | None:
+    def pop(self, address: str) -> ConnectionT | None:
         """A usable connection to this address, no longer idle; unusable ones are closed."""
         idle = self._by_address.get(address)
         expired_at = time.monotonic() - self._max_idle_s
--- a/fallpulley/wire/limit.py
+++ b/fallpulley/wire/limit.py
@@ -24,6 +24,13 @@
 BEST_TIME_DRIFT = 0.002
 # The limit before anything was measured.
 INITIAL_LIMIT = 64
+# One step lowers the target to no less than this share of the limit.
+MIN_GRADIENT = 0.5
+# Weights of the present limit and the target in the next limit.
+LIMIT_WEIGHT = 0.9
+TARGET_WEIGHT = 0.1
+# Shorter times count as this, so that the best time is never zero.
+MIN_MEASURED_SECONDS = 1e-4
 
 
 class AdaptiveLimit:
@@ -34,8 +41,8 @@
         self.min_limit, self.max_limit = float(min_limit), float(max_limit)
         self.limit = float(min(max_limit, max(min_limit, INITIAL_LIMIT)))
         self.in_progress = 0
-        self._best: float | None = None
-        self._mean = 0.0
+        self._best_s: float | None = None
+        self._mean_s = 0.0
 
     def enter(self, query: bool = False) -> bool:
         """Count a request in; False if there is no room for it."""
@@ -48,14 +55,15 @@
         """Count a request out and adjust the limit to the time it took, in seconds."""
         was_full = self.in_progress * 2 >= self.limit
         self.in_progress -= 1
-        took_s = max(took_s, 1e-4)
-        if self._best is None:
-            self._best = self._mean = took_s
-        self._best = min(took_s, self._best * (1 + BEST_TIME_DRIFT))
-        self._mean += MEAN_WEIGHT * (took_s - self._mean)
-        undisturbed = max(TOLERATED_SLOWDOWN * self._best, PROMPT_SECONDS)
-        gradient = max(0.5, min(1.0, undisturbed / self._mean))
+        took_s = max(took_s, MIN_MEASURED_SECONDS)
+        if self._best_s is None:
+            self._best_s = self._mean_s = took_s
+        self._best_s = min(took_s, self._best_s * (1 + BEST_TIME_DRIFT))
+        self._mean_s += MEAN_WEIGHT * (took_s - self._mean_s)
+        undisturbed_s = max(TOLERATED_SLOWDOWN * self._best_s, PROMPT_SECONDS)
+        gradient = max(MIN_GRADIENT, min(1.0, undisturbed_s / self._mean_s))
         if gradient >= 1.0 and not was_full:
             return  # nothing to learn from a limit that is not reached
         target = self.limit * gradient + math.sqrt(self.limit)
-        self.limit = max(self.min_limit, min(self.max_limit, 0.9 * self.limit + 0.1 * target))
+        smoothed = LIMIT_WEIGHT * self.limit + TARGET_WEIGHT * target
+        self.limit = max(self.min_limit, min(self.max_limit, smoothed))
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -30,7 +30,7 @@
 TOO_LONG = b'{"error":"too long"}'
 BUSY = b'{"error":"busy"}'
 RETRY_AFTER_SECONDS = 1.0
-# Connections that wait to be accepted, at least.
+# Connections that may wait to be accepted, whatever the number of sockets.
 MIN_BACKLOG = 512
 
 
@@ -219,7 +219,7 @@
             self._close()
         elif type(event) is h11.EndOfMessage and self._request is not None:
             request, self._request = self._request, None
-            self._on_request(request, self._body.take())
+            self._on_request(request, self._body.finish())
         else:
             self._close()
         return False
