--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -23,7 +23,9 @@
 from fallpulley.jobs.messages import JobRecord, parse_submission
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.settings import SettingsError, load
-from fallpulley.state.client import Change, RequestPriority, StateClient, TokenBucket, Write
+from fallpulley.state.client import StateClient
+from fallpulley.state.token_bucket import TokenBucket
+from fallpulley.state.transactions import Change, RequestPriority, Write
 from fallpulley.wire.limit import AdaptiveLimit
 from fallpulley.workers.machine import TaskRun
 from tests.world import job, settings
@@ -247,7 +249,7 @@
 
 
 def test_the_limit_shrinks_when_answers_slow_down_and_grows_back() -> None:
-    limit = AdaptiveLimit(least=4, most=100)
+    limit = AdaptiveLimit(min_limit=4, max_limit=100)
     for _ in range(50):
         assert limit.enter()
         limit.leave(0.01)
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -62,8 +62,8 @@
 from fallpulley.shares import messages as shares
 from fallpulley.standby import entries, replica
 from fallpulley.standby import messages as standby
-from fallpulley.state import client
-from fallpulley.state import watch_cache as view
+from fallpulley.state import client, transactions
+from fallpulley.state import messages as state
 from fallpulley.workers import messages as workers
 
 
@@ -114,8 +114,8 @@
     conditions, changes = write
     calls: list[Any] = []
     sender = client.StateClient("state:1", 1000.0, 1000.0, 16, calls.append)
-    encoded = [client.Change(k, v and v.encode(), tenure) for k, v, tenure in changes]
-    sender.write(client.Write(conditions, encoded, client.ignore_result))
+    encoded = [transactions.Change(k, v and v.encode(), tenure) for k, v, tenure in changes]
+    sender.write(transactions.Write(conditions, encoded, transactions.ignore_result))
     sender.send_queued(0.0)
     (call,) = calls
     _, method, path, body, *_ = msgspec.structs.astuple(call)
