--- a/fallpulley/controller_access.py
+++ b/fallpulley/controller_access.py
@@ -9,7 +9,7 @@
 from fallpulley.membership.session import SessionLease
 from fallpulley.records.registry import Registry
 from fallpulley.shards.owned import OwnedShards
-from fallpulley.state.client import Change, RequestPriority, Write, WriteCallback
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteCallback
 from fallpulley.state.watch_cache import WatchCache
 
 # A write that has not gone out by then is given up, and decided anew.
--- a/fallpulley/duties/intents.py
+++ b/fallpulley/duties/intents.py
@@ -9,7 +9,7 @@
 from fallpulley.controller_access import ControllerAccess
 from fallpulley.duties.messages import Action, Duty, Intent, duty_key, intent_key
 from fallpulley.duties.registry import DutyRegistry
-from fallpulley.state.client import Change, RequestPriority, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, WriteResult
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/duties/ownership.py
+++ b/fallpulley/duties/ownership.py
@@ -8,7 +8,7 @@
 from fallpulley.duties.messages import Duty, DutyRecord, duty_key
 from fallpulley.duties.registry import DutyRegistry
 from fallpulley.records.keys import LEADER_KEY
-from fallpulley.state.client import Change, RequestPriority, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, WriteResult
 
 # A duty that could not be claimed is tried again after so long.
 CLAIM_RETRY_SECONDS = 0.5
--- a/fallpulley/fleet/catalog.py
+++ b/fallpulley/fleet/catalog.py
@@ -10,7 +10,7 @@
 from fallpulley.fleet.messages import Catalog, MachineType
 from fallpulley.records.keys import CATALOG_KEY
 from fallpulley.records.registry import Registry
-from fallpulley.state.client import Change, RequestPriority, Write, ignore_result
+from fallpulley.state.transactions import Change, RequestPriority, Write, ignore_result
 from fallpulley.state.watch_cache import WatchCache
 
 CATALOG_INTERVAL_SECONDS = 20.0  # prices move slowly; the types do not
--- a/fallpulley/fleet/cloud.py
+++ b/fallpulley/fleet/cloud.py
@@ -8,7 +8,7 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response, ResponseHandler
-from fallpulley.state.client import TokenBucket
+from fallpulley.state.token_bucket import TokenBucket
 
 T = TypeVar("T")
 
--- a/fallpulley/fleet/releases.py
+++ b/fallpulley/fleet/releases.py
@@ -13,7 +13,7 @@
 from fallpulley.fleet.cloud import CALL_TIMEOUT_SECONDS, CloudClient
 from fallpulley.fleet.messages import MAX_RELEASED_MACHINES, ReleaseRequest
 from fallpulley.records.registry import Registry
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -29,7 +29,7 @@
 from fallpulley.records.messages import TeamShard
 from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
-from fallpulley.state.client import Change, WriteResult
+from fallpulley.state.transactions import Change, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/jobs/cancellation.py
+++ b/fallpulley/jobs/cancellation.py
@@ -12,7 +12,7 @@
 from fallpulley.jobs.job_writes import write_acceptance
 from fallpulley.jobs.messages import FINAL_STATES, JOB_ID, JobState, JobStatus
 from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
-from fallpulley.state.client import Change, WriteResult
+from fallpulley.state.transactions import Change, WriteResult
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/jobs/job_writes.py
+++ b/fallpulley/jobs/job_writes.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from fallpulley.context import ControllerContext
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 
 # A write that has not gone out by then is dropped: a user would ask again anyway.
 MAX_ACCEPT_WAIT_SECONDS = 2.0
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -22,7 +22,7 @@
 from fallpulley.jobs.progress_loading import ProgressLoader
 from fallpulley.jobs.stored_progress import ProgressItem, progress_key
 from fallpulley.shards.shard import Shard
-from fallpulley.state.client import Change, RequestPriority, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, WriteResult
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/jobs/progress_loading.py
+++ b/fallpulley/jobs/progress_loading.py
@@ -17,7 +17,7 @@
     parse_progress_key,
 )
 from fallpulley.shards.shard import Shard
-from fallpulley.state.client import RequestPriority
+from fallpulley.state.transactions import RequestPriority
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/membership/format_agreement.py
+++ b/fallpulley/membership/format_agreement.py
@@ -12,7 +12,7 @@
 from fallpulley.records.keys import FORMAT_KEY
 from fallpulley.records.messages import FormatMarker
 from fallpulley.records.registry import Registry
-from fallpulley.state.client import Change, RequestPriority
+from fallpulley.state.transactions import Change, RequestPriority
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/membership/leader_election.py
+++ b/fallpulley/membership/leader_election.py
@@ -9,7 +9,7 @@
 from fallpulley.membership.session import SessionLease
 from fallpulley.records.keys import LEADER_KEY
 from fallpulley.records.registry import Registry
-from fallpulley.state.client import Change
+from fallpulley.state.transactions import Change
 from fallpulley.state.watch_cache import WatchCache
 
 
--- a/fallpulley/membership/membership_writes.py
+++ b/fallpulley/membership/membership_writes.py
@@ -5,7 +5,7 @@
 import logging
 
 from fallpulley.context import ControllerContext
-from fallpulley.state.client import Change, RequestPriority, Write
+from fallpulley.state.transactions import Change, RequestPriority, Write
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/membership/session.py
+++ b/fallpulley/membership/session.py
@@ -12,7 +12,7 @@
 from fallpulley.records.formats import NEWEST_FORMAT
 from fallpulley.records.keys import SESSION_PREFIX
 from fallpulley.records.messages import LeaseGrant, Session
-from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/membership/shard_assignment.py
+++ b/fallpulley/membership/shard_assignment.py
@@ -13,7 +13,7 @@
 from fallpulley.records.registry import Registry
 from fallpulley.records.shard_record import PreviousOwner, ShardRecord
 from fallpulley.records.versioned import Versioned
-from fallpulley.state.client import Change
+from fallpulley.state.transactions import Change
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/records/layout.py
+++ b/fallpulley/records/layout.py
@@ -6,7 +6,7 @@
 from fallpulley.records.machine_encoding import Machines, without_addresses
 from fallpulley.records.shard_change import RecordLimits, RecordUpdate
 from fallpulley.records.shard_record import MachinePage, ShardRecord, encode_page
-from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change
+from fallpulley.state.transactions import MAX_TRANSACTION_BYTES, Change
 
 # A record with more machines is laid out in pages: every controller decodes all of a value at each
 # of its changes, which takes 2 ms of a whole core for as many, and 20 ms on a tenth of one.
--- a/fallpulley/records/paged_update.py
+++ b/fallpulley/records/paged_update.py
@@ -14,7 +14,7 @@
 from fallpulley.records.machine_encoding import Machines
 from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
 from fallpulley.records.shard_record import MachinePage, ShardRecord
-from fallpulley.state.client import Change
+from fallpulley.state.transactions import Change
 
 
 class PagedUpdate:
--- a/fallpulley/records/record_update.py
+++ b/fallpulley/records/record_update.py
@@ -15,7 +15,7 @@
 from fallpulley.records.paged_update import PagedUpdate
 from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
 from fallpulley.records.shard_record import ShardRecord
-from fallpulley.state.client import Change
+from fallpulley.state.transactions import Change
 
 
 def update_record(
--- a/fallpulley/records/release_records.py
+++ b/fallpulley/records/release_records.py
@@ -9,7 +9,7 @@
 from fallpulley.records.formats import RecordFormat
 from fallpulley.records.keys import RELEASE_PREFIX
 from fallpulley.records.messages import ReleaseRecord
-from fallpulley.state.client import Change
+from fallpulley.state.transactions import Change
 
 # Machines in one record of those to be released, if their ids leave it below a quarter of a
 # value; a release takes a hundred.
--- a/fallpulley/records/shard_change.py
+++ b/fallpulley/records/shard_change.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from fallpulley.records.machine_encoding import MachineEntry, Machines
-from fallpulley.state.client import Change
+from fallpulley.state.transactions import Change
 
 
 class RecordLimits(msgspec.Struct, frozen=True):
--- a/fallpulley/records/transactions.py
+++ b/fallpulley/records/transactions.py
@@ -16,7 +16,7 @@
 from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
 from fallpulley.records.shard_record import MachineEntry, Machines, ShardRecord
 from fallpulley.records.versioned import Versioned
-from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change
+from fallpulley.state.transactions import MAX_TRANSACTION_BYTES, Change
 
 # Beside a shard's own values: the record of machines to be released.
 RELEASE_CHANGES = 1
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -21,7 +21,7 @@
     without_previous_owners,
 )
 from fallpulley.records.versioned import Versioned
-from fallpulley.state.client import RequestPriority, Write, WriteResult
+from fallpulley.state.transactions import RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
 # Of a heartbeat interval, the least time between two writes of a shard's record.
--- a/fallpulley/shares/policy_runner.py
+++ b/fallpulley/shares/policy_runner.py
@@ -12,7 +12,7 @@
 from fallpulley.shares.policy import Policy, PolicyInput
 from fallpulley.shares.record import ShareRecord
 from fallpulley.shares.table import ConflictError, RefusedError, apply_request
-from fallpulley.state.client import RequestPriority, ignore_result
+from fallpulley.state.transactions import RequestPriority, ignore_result
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -18,7 +18,7 @@
 from fallpulley.shards.shard import Shard
 from fallpulley.shares.messages import ShareTable
 from fallpulley.shares.targets import Move, plan_moves, target_processors
-from fallpulley.state.client import TokenBucket
+from fallpulley.state.token_bucket import TokenBucket
 from fallpulley.workers.machine import Machine
 
 log = logging.getLogger(__name__)
--- a/fallpulley/shares/record.py
+++ b/fallpulley/shares/record.py
@@ -11,7 +11,7 @@
 from fallpulley.records.keys import SHARES_KEY
 from fallpulley.shares.messages import ShareTable
 from fallpulley.shares.table import Deployment
-from fallpulley.state.client import Change, RequestPriority, WriteCallback
+from fallpulley.state.transactions import Change, RequestPriority, WriteCallback
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/shares/requests.py
+++ b/fallpulley/shares/requests.py
@@ -17,7 +17,7 @@
     apply_request,
     revision_of_operation,
 )
-from fallpulley.state.client import RequestPriority, WriteResult
+from fallpulley.state.transactions import RequestPriority, WriteResult
 
 RETRY_AFTER_SECONDS = 1.0
 
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -26,7 +26,7 @@
 )
 from fallpulley.standby.replica import Snapshot
 from fallpulley.standby.snapshot import snapshot_parts
-from fallpulley.state.client import TokenBucket
+from fallpulley.state.token_bucket import TokenBucket
 
 # Entries in a message: packed, some 10 KiB.
 MAX_BATCH_ENTRIES = 500
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -63,7 +63,6 @@
 from fallpulley.standby import entries, replica
 from fallpulley.standby import messages as standby
 from fallpulley.state import client, transactions
-from fallpulley.state import messages as state
 from fallpulley.workers import messages as workers
 
 
