--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -7,7 +7,7 @@
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.estimate import remaining_run_time
-from fallpulley.placement.plan import URGENT_PRIORITY_LEVEL
+from fallpulley.placement.queue import URGENT_PRIORITY_LEVEL
 from fallpulley.shards.shard import Shard
 
 
--- /dev/null
+++ b/fallpulley/placement/pending_jobs.py
@@ -0,0 +1,142 @@
+"""The jobs of a shard with tasks to place, for a plan."""
+
+from __future__ import annotations
+
+import math
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.jobs.messages import JobKind
+from fallpulley.jobs.open_job import OpenJob
+from fallpulley.placement.age_bound import (
+    first_tasks,
+    mark_late_jobs_overdue,
+    waited_past_age_bound,
+)
+from fallpulley.placement.queue import PendingJob, queue_order
+from fallpulley.placement.remaining_time import MachineShapes, count_shapes, remaining_time
+from fallpulley.placement.snapshot import MachineSnapshot
+from fallpulley.placement.team_limits import TeamLimits
+from fallpulley.settings import Team
+from fallpulley.shards.shard import Shard
+
+
+def pending_jobs(
+    shard: Shard,
+    context: ControllerContext,
+    teams: dict[str, Team],
+    snapshots: list[MachineSnapshot],
+) -> list[PendingJob]:
+    """The jobs with tasks to place, in queue order, within their teams' limits."""
+    pending: list[PendingJob] = []
+    shapes = count_shapes(snapshots)
+    limits = TeamLimits(shard, teams)
+    for job in shard.jobs.values():
+        if not _may_be_placed(job, shard, context.now) or limits.forbid(job):
+            continue
+        task_count = job.waiting_count()
+        if not task_count or job.gang_restarting:
+            continue
+        entry = _pending_job(shard, context, job, task_count, shapes)
+        pending += _split_first_tasks(entry, job, context)
+    fleet_cpus = sum(snapshot.capacity.cpus for snapshot in snapshots)
+    mark_late_jobs_overdue(pending, shard, context, fleet_cpus)
+    pending.sort(key=queue_order)
+    limits.apply(pending)
+    return [job for job in pending if job.task_count]
+
+
+def _may_be_placed(job: OpenJob, shard: Shard, now: float) -> bool:
+    """Whether the job's tasks may start: it is open, ready, and none runs where we cannot see."""
+    return not (
+        job.cancelled
+        or job.finished
+        or now < job.retry_at
+        or shard.is_unreconciled(job)
+        or job.waits_for_dependencies
+    )
+
+
+def _split_first_tasks(
+    entry: PendingJob, job: OpenJob, context: ControllerContext
+) -> list[PendingJob]:
+    """The entry, preceded by one for the first tasks of a job that has waited for too long."""
+    first_count = first_tasks(job, context) - len(job.runs)
+    if first_count <= 0:
+        return [entry]
+    # Without an end to it, shortest-first and the urgent queue would starve the rest.
+    first_count = entry.task_count if entry.all_at_once else min(first_count, entry.task_count)
+    first = msgspec.structs.replace(entry, task_count=first_count, starved=True)
+    if job.spec.one_zone or job.spec.spread:
+        return [first]  # booked in two parts, each would keep to its zones without the other
+    entry.task_count -= first_count
+    return [first, entry]
+
+
+def _pending_job(
+    shard: Shard,
+    context: ControllerContext,
+    job: OpenJob,
+    task_count: int,
+    shapes: MachineShapes,
+) -> PendingJob:
+    spec = job.spec
+    estimate_s = shard.estimate_run_s(job)
+    _update_remaining_time(job, estimate_s, shapes)
+    job.update_deadline_risk(context.wall_time)
+    return PendingJob(
+        job_id=job.job_id,
+        resources=job.resources,
+        estimated_run_s=estimate_s,
+        task_count=task_count,
+        image=spec.image,
+        image_gb=spec.image_gb,
+        remaining_s=job.remaining_s + job.critical_path_s,
+        overdue=job.deadline_at_risk or waited_past_age_bound(job, context, estimate_s),
+        submitted_at=job.ready_since_ms / 1000,
+        allow_spot=spec.allow_spot,
+        priority_level=job.priority_level,
+        machine_types=spec.machine_types,
+        zone=_zone(job, shard),
+        zone_limits=_zone_limits(job, shard) if spec.spread else None,
+        one_zone=spec.one_zone,
+        avoided_machines=_avoided_machines(job, shard),
+        all_at_once=spec.kind == JobKind.GANG and not job.runs,
+    )
+
+
+def _update_remaining_time(job: OpenJob, estimate_s: float, shapes: MachineShapes) -> None:
+    """Estimate the job's remaining time (T 3-1) anew, unless nothing has changed that counts."""
+    unfinished = job.spec.task_count - job.completed_count
+    inputs = (unfinished, shapes, round(estimate_s, 1))
+    if inputs != job.remaining_inputs:
+        job.remaining_inputs = inputs
+        job.remaining_s = remaining_time(job.resources, estimate_s, unfinished, shapes)
+
+
+def _zone(job: OpenJob, shard: Shard) -> str | None:
+    """The zone that the job is bound to; one for all of its tasks: where the first ones run."""
+    if job.spec.one_zone and job.runs:
+        run = next(iter(job.runs.values()))
+        return shard.machines[run.machine_id].entry.zone
+    return job.spec.zone
+
+
+def _zone_limits(job: OpenJob, shard: Shard) -> dict[str, int]:
+    """Of a job spread over zones, how many more tasks each zone may get."""
+    limit = math.ceil(job.spec.task_count / 2)
+    limits = dict.fromkeys((machine.entry.zone for machine in shard.machines.values()), limit)
+    for run in job.runs.values():
+        zone = shard.machines[run.machine_id].entry.zone
+        limits[zone] = limits.get(zone, limit) - 1
+    return limits
+
+
+def _avoided_machines(job: OpenJob, shard: Shard) -> set[str] | None:
+    """The machines on which the job failed; not if these are all there are: closed to it, they
+    would stand idle beside it."""
+    failed = job.failed_machines or None
+    if failed is not None and failed >= shard.machines.keys():
+        return None
+    return failed
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -1,28 +1,28 @@
-"""When held blocks are planned, and what becomes of a plan."""
+"""When the shards of a controller are planned, and what becomes of a plan."""
 
 from __future__ import annotations
 
 from fallpulley.context import ControllerContext
 from fallpulley.jobs.service import JobService
-from fallpulley.placement.queue import plan_shard
+from fallpulley.placement.shard_plan import plan_shard
 from fallpulley.records.registry import Registry
 from fallpulley.shards.agent import ShardAgent
 
 # The next plan waits so many times what the last one took: a twentieth of the time is for
-# planning. Where that would be longer than a part of a report interval, room would stand idle for
-# what it saves: then up to a fifth of the time is.
-PLAN_SHARE, PLAN_SHARE_LEAST = 20.0, 4.0
-MAX_PLAN_INTERVALS = 0.15
-# Plans lie at least so many report intervals apart: what comes between is planned together.
-PLAN_REPORTS = 1.0 / 20.0
-# Estimates run out while nothing happens: plan again at least every so many reports.
-REPLAN_REPORTS = 1.0
-# A machine whose next report is due within this share of an interval need not be prompted.
-PROMPT_REPORTS = 0.25
+# planning. Where that would be longer than a part of a heartbeat interval, room would stand idle
+# for what it saves: then up to a fifth of the time is.
+WAIT_PER_PLAN_TIME, MIN_WAIT_PER_PLAN_TIME = 20.0, 4.0
+MAX_WAIT_INTERVALS = 0.15
+# Plans lie at least so many heartbeat intervals apart: what comes between is planned together.
+MIN_WAIT_INTERVALS = 1.0 / 20.0
+# Estimates run out while nothing happens: plan again at least every so many heartbeat intervals.
+REPLAN_INTERVALS = 1.0
+# A machine whose next heartbeat is due within this share of an interval need not be prompted.
+PROMPT_INTERVALS = 0.25
 
 
 class Planner:
-    """Plans the held blocks in which something changed, as often as plans are cheap."""
+    """Plans the shards in which something changed, as often as plans are cheap."""
 
     def __init__(self, context: ControllerContext, registry: Registry, jobs: JobService) -> None:
         self.context = context
@@ -32,7 +32,7 @@
         self._replan_at = float("-inf")
 
     def plan(self, agents: dict[str, ShardAgent]) -> bool:
-        """Plan the blocks that need it, if it is time; says whether any was."""
+        """Plan the shards that need it, if it is time; returns whether any was planned."""
         now = self.context.now
         if now < self.ready_at:
             return False
@@ -40,34 +40,34 @@
         began = self.context.clock()
         planned = [agent for agent in agents.values() if agent.shard.needs_replan or replan]
         for agent in planned:
-            self._plan_one(agent)
+            self._plan_shard(agent)
         if planned:
-            self._space(self.context.clock() - began)
+            self._schedule_next(self.context.clock() - began)
         return bool(planned)
 
-    def _plan_one(self, agent: ShardAgent) -> None:
+    def _plan_shard(self, agent: ShardAgent) -> None:
+        """Plan one shard: its bookings go out with heartbeats, its stops at once."""
         shard = agent.shard
         shard.needs_replan = False
         decision = plan_shard(shard, self.context, self.registry, self.jobs.teams)
         shard.bookings = decision.starts
-        for preemption in decision.stops:
+        for preemption in decision.preemptions:
             agent.commands.preempt(preemption.machine_id, preemption.task_ids)
-        self._prompt_reports(agent)
+        self._prompt_heartbeats(agent)
 
-    def _space(self, took_s: float) -> None:
-        report_s = self.context.timing.report_s
-        wait_s = min(took_s * PLAN_SHARE, MAX_PLAN_INTERVALS * report_s)
-        wait_s = max(wait_s, took_s * PLAN_SHARE_LEAST, PLAN_REPORTS * report_s)
+    def _schedule_next(self, plan_s: float) -> None:
+        """Set the time of the next plan by what this one took."""
+        interval_s = self.context.timing.report_s
+        wait_s = min(plan_s * WAIT_PER_PLAN_TIME, MAX_WAIT_INTERVALS * interval_s)
+        wait_s = max(wait_s, plan_s * MIN_WAIT_PER_PLAN_TIME, MIN_WAIT_INTERVALS * interval_s)
         self.ready_at = self.context.now + wait_s
-        self._replan_at = self.context.now + REPLAN_REPORTS * report_s
+        self._replan_at = self.context.now + REPLAN_INTERVALS * interval_s
 
-    def _prompt_reports(self, agent: ShardAgent) -> None:
-        """Machines with new bookings are asked to report now instead of when it is their turn."""
-        soon = self.context.now + PROMPT_REPORTS * self.context.timing.report_s
+    def _prompt_heartbeats(self, agent: ShardAgent) -> None:
+        """Ask machines with new bookings for a heartbeat now, unless theirs is due soon."""
+        interval_s = self.context.timing.report_s
+        soon = self.context.now + PROMPT_INTERVALS * interval_s
         for machine_id in agent.shard.bookings:
             machine = agent.shard.machines.get(machine_id)
-            if (
-                machine is not None
-                and machine.heartbeat.received_at + self.context.timing.report_s > soon
-            ):
+            if machine is not None and machine.heartbeat.received_at + interval_s > soon:
                 agent.commands.prompt_heartbeat(machine)
--- /dev/null
+++ b/fallpulley/placement/shard_plan.py
@@ -0,0 +1,49 @@
+"""A shard's plan: from its state to the tasks that it starts and stops."""
+
+from __future__ import annotations
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.placement.pending_jobs import pending_jobs
+from fallpulley.placement.plan import Booking, Plan, make_plan
+from fallpulley.placement.preemption import preemptions_for
+from fallpulley.placement.snapshot_builder import machine_snapshots
+from fallpulley.placement.victims import Preemption
+from fallpulley.records.registry import Registry
+from fallpulley.settings import Team
+from fallpulley.shards.shard import Shard
+
+
+class PlacementDecision(msgspec.Struct):
+    """What a plan asks for: tasks to start, by machine, and tasks to stop for urgent ones."""
+
+    starts: dict[str, list[Booking]]
+    preemptions: list[Preemption]
+
+
+def plan_shard(
+    shard: Shard, context: ControllerContext, registry: Registry, teams: dict[str, Team]
+) -> PlacementDecision:
+    """Plan the shard's pending jobs on its machines as they are now."""
+    snapshots = machine_snapshots(shard, registry.machine_types, context.now)
+    pending = pending_jobs(shard, context, teams, snapshots)
+    plan = make_plan(pending, snapshots, context.now)
+    return PlacementDecision(
+        _starts_by_machine(shard, plan),
+        preemptions_for(shard, context, plan, pending, snapshots),
+    )
+
+
+def _starts_by_machine(shard: Shard, plan: Plan) -> dict[str, list[Booking]]:
+    """The plan's bookings by machine, each for one of its job's pending tasks."""
+    by_machine: dict[str, list[Booking]] = {}
+    by_job: dict[str, list[Booking]] = {}
+    for booking in plan.starts:
+        by_job.setdefault(booking.job_id, []).append(booking)
+        by_machine.setdefault(booking.machine_id, []).append(booking)
+    for job_id, bookings in by_job.items():
+        task_indexes = shard.jobs[job_id].next_tasks(len(bookings))
+        for booking, task_index in zip(bookings, task_indexes, strict=True):
+            booking.task_index = task_index
+    return by_machine
--- /dev/null
+++ b/fallpulley/placement/snapshot_builder.py
@@ -0,0 +1,111 @@
+"""Snapshots of a shard's machines, for a plan."""
+
+from __future__ import annotations
+
+import math
+
+from fallpulley.fleet.messages import MachineType
+from fallpulley.jobs.open_job import OpenJob
+from fallpulley.placement.estimate import remaining_run_time
+from fallpulley.placement.profile import Occupancy
+from fallpulley.placement.snapshot import MachineSnapshot
+from fallpulley.shards.shard import Shard
+from fallpulley.workers.machine import Machine, TaskRun
+from fallpulley.workers.messages import TaskState
+
+# A fetch in progress is taken to need at least so long still, also past its estimate.
+MIN_FETCH_SECONDS = 0.5
+# What a task that is being stopped needs beyond saving its checkpoint.
+STOP_SECONDS = 1.0
+MIN_FETCH_GB_PER_S = 1e-3
+
+
+def machine_snapshots(
+    shard: Shard, machine_types: dict[str, MachineType], now: float
+) -> list[MachineSnapshot]:
+    """The machines that may be given tasks now. A snapshot is made anew only when something
+    changed on the machine or one of its tasks should have ended: hundreds of machines stay the
+    same from one plan to the next."""
+    snapshots = []
+    builder = _SnapshotBuilder(shard, now)
+    for machine in shard.machines.values():
+        if (
+            not machine.usable
+            or not machine.marked_occupied
+            or now < machine.reliability.refuses_tasks_until
+            or machine.scale_in.draining
+        ):
+            continue
+        snapshot = machine.snapshot
+        if snapshot is None or now >= snapshot.valid_until:
+            machine_type = machine_types.get(machine.entry.machine_type)
+            if machine_type is None or _holds_unknown_tasks(machine):
+                continue  # it holds something whose size we do not know, until it is stopped
+            snapshot = machine.snapshot = builder.build(machine, machine_type)
+        snapshots.append(snapshot)
+    return snapshots
+
+
+def _holds_unknown_tasks(machine: Machine) -> bool:
+    return any(
+        status.state != TaskState.EXITED and task_id not in machine.runs
+        for task_id, status in machine.tasks.items()
+    )
+
+
+class _SnapshotBuilder:
+    """Makes the snapshots of one plan. A job, which may have tasks on many machines, is estimated
+    once."""
+
+    def __init__(self, shard: Shard, now: float) -> None:
+        self.shard = shard
+        self.now = now
+        self._estimates: dict[str, float] = {}
+
+    def build(self, machine: Machine, machine_type: MachineType) -> MachineSnapshot:
+        """The machine as it is now, with the estimated ends of its tasks and fetches."""
+        now, slowness = self.now, machine.speed.slowness
+        fetch_free_at = now
+        images = dict.fromkeys(machine.images.cached, 0.0)
+        for image, ready_at in machine.images.fetching.items():
+            images[image] = max(ready_at, now + MIN_FETCH_SECONDS)
+            fetch_free_at = max(fetch_free_at, images[image])
+        running: list[Occupancy] = []
+        first_end = math.inf
+        for run in machine.runs.values():
+            ends_at = now + self._remaining_s(run, slowness, images)
+            running.append((ends_at, *run.resources))
+            first_end = min(first_end, ends_at)
+        return MachineSnapshot(
+            machine.machine_id,
+            machine_type.name,
+            machine.entry.zone,
+            machine.entry.spot,
+            machine_type.capacity,
+            max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S),
+            slowness,
+            running,
+            images,
+            fetch_free_at,
+            valid_until=first_end,
+        )
+
+    def _remaining_s(self, run: TaskRun, slowness: float, images: dict[str, float]) -> float:
+        """The seconds until the task leaves the machine, as far as can be estimated."""
+        now = self.now
+        job = self.shard.jobs.get(run.job_id)
+        estimate_s = run.estimated_run_s if job is None else self._estimate_s(job) * slowness
+        if run.started_at is not None:
+            remaining_s = remaining_run_time(estimate_s, now - run.started_at)
+        else:
+            ready_at = images.get(job.spec.image, now) if job is not None else now
+            remaining_s = estimate_s + max(0.0, ready_at - now)
+        if run.stop_grace_s is not None and job is not None:
+            remaining_s = min(remaining_s, job.spec.checkpoint_save_s + STOP_SECONDS)
+        return remaining_s
+
+    def _estimate_s(self, job: OpenJob) -> float:
+        estimate_s = self._estimates.get(job.job_id)
+        if estimate_s is None:
+            estimate_s = self._estimates[job.job_id] = self.shard.estimate_run_s(job)
+        return estimate_s
--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -185,7 +185,7 @@
         job.observed_tasks += 1
         job.observed_run_s += took
         job_class = job.spec.job_class
-        self.shard.corrections.learn(job_class, job.spec.estimated_run_s, took)
+        self.shard.corrections.record_run_time(job_class, job.spec.estimated_run_s, took)
         self.shard.decisions.run_time_learned(job.job_id, job.observed_tasks, job.observed_run_s)
         self.shard.decisions.class_correction_learned(
             job_class, self.shard.corrections.factor(job_class)
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fallpulley.placement.plan import MachineSnapshot
+from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.records.shard_record import MachineEntry
 from fallpulley.resources import Resources
 from fallpulley.workers.machine_parts import (
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fallpulley.balancing.balancer import ShardBalancer
-from fallpulley.placement.queue import machine_snapshots
+from fallpulley.placement.snapshot_builder import machine_snapshots
 from fallpulley.records.shard_record import MachineEntry
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.shard import Shard
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,17 +7,12 @@
 from hypothesis import strategies as st
 
 from fallpulley.placement.estimate import Corrections, remaining_run_time, run_estimate
-from fallpulley.placement.plan import (
-    MachineSnapshot,
-    PendingJob,
-    _Planner,
-    count_shapes,
-    eligible,
-    make_plan,
-    queue_order,
-    remaining_time,
-)
+from fallpulley.placement.machine_pool import MachinePool
+from fallpulley.placement.plan import make_plan
 from fallpulley.placement.profile import Profile
+from fallpulley.placement.queue import PendingJob, is_eligible, queue_order
+from fallpulley.placement.remaining_time import count_shapes, remaining_time
+from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import Resources
 
 Tasks = st.lists(
@@ -37,11 +32,11 @@
         if cpus <= room[0] and cards <= room[1] and mem <= room[2]:
             room = [room[0] - cpus, room[1] - cards, room[2] - mem]
             held.append((float(end), float(cpus), float(cards), float(mem)))
-    profile = Profile(0.0, 8.0, 2.0, 16.0, held)
+    profile = Profile(0.0, Resources(8.0, 2.0, 16.0), held)
     booked = [(0.0, end, c, g, m) for end, c, g, m in held]
     for cpus, cards, mem, lasts in queue:
         need = Resources(float(cpus), float(cards), float(mem))
-        start = profile.earliest(need, float(lasts))
+        start = profile.earliest_start(need, float(lasts))
         assert start is not None  # everything ends, so everything fits some time
         profile.book(start, float(lasts), need)
         booked.append((start, start + lasts, *need))
@@ -140,7 +135,7 @@
 def test_estimates_follow_what_tasks_took() -> None:
     learned = Corrections()
     for _ in range(200):
-        learned.learn("c", 10.0, 20.0)
+        learned.record_run_time("c", 10.0, 20.0)
     assert 1.9 < learned.factor("c") <= 2.0
     assert learned.factor("other") == 1.0
     assert run_estimate(10.0, 0, 0.0) == 10.0
@@ -167,9 +162,11 @@
 ) -> None:
     """Every waiting job once looked at every machine in every plan: 100 ms and more at 600."""
     looks: list[int] = []
-    real = _Planner.candidate
+    real = MachinePool.earliest_finish
     monkeypatch.setattr(
-        _Planner, "candidate", lambda self, job, at: looks.append(at) or real(self, job, at)
+        MachinePool,
+        "earliest_finish",
+        lambda self, job, at: looks.append(at) or real(self, job, at),
     )
     full = [snapshot(f"m{n}", running=[(20.0 + n, 8.0, 0.0, 8.0)]) for n in range(40)]
     jobs = [pending(f"j{n:02}", 20, remaining_s=float(n), priority_level=2) for n in range(20)]
@@ -191,9 +188,10 @@
     def counted(job: PendingJob, at: MachineSnapshot) -> bool:
         nonlocal looks
         looks += 1
-        return eligible(job, at)
+        return is_eligible(job, at)
 
-    monkeypatch.setattr("fallpulley.placement.plan.eligible", counted)
+    for module in ("plan", "machine_pool"):
+        monkeypatch.setattr(f"fallpulley.placement.{module}.is_eligible", counted)
     jobs = [pending(f"j{n}", allow_spot=False, priority_level=2) for n in range(5)]
     plan = make_plan(jobs, spots + plain, 0.0)
     assert plan.booked_later == 5
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -19,7 +19,7 @@
 
 - `effects`: all, between the core and the network of one process.
 - `jobs`: `pipelines.Node`, `Outlook`, `Changes`, `service.Known`.
-- `placement`: all, in `plan`, `preempt` and `queue`.
+- `placement`: all.
 - `blocks`: `layout.RecordLimits`, `Wishes`, `Edit`. `BlockRecord`, `BlockHead`, `Part` and
   `MachineEntry` are what block records are read into; `_BlockWire`, `_PartWire`, `_Group`, `_Run`
   and `_Kind` are what stands in the bytes, and have goldens too.
