--- a/fallpulley/placement/machine_pool.py
+++ b/fallpulley/placement/machine_pool.py
@@ -72,8 +72,12 @@
         snapshot, now = self.snapshots[index], self.now
         run_s = job.estimated_run_s * snapshot.slowness
         ready_at = snapshot.images.get(job.image)
+        if ready_at is None and self._fetched_at:
+            ready_at = self._fetched_at.get((index, job.image))
         if ready_at is None:
-            ready_at = self._fetch_ends_at(job, index)
+            # As _fetch_ends_at, without its call: most pairs of job and machine come here.
+            free_at = self._fetch_free_at.get(index, snapshot.fetch_free_at)
+            ready_at = (free_at if free_at > now else now) + job.image_gb / snapshot.fetch_gb_per_s
         profile = self._profiles[index]
         start = profile.earliest_start(
             job.resources, run_s + ready_at - now if ready_at > now else run_s
@@ -94,15 +98,10 @@
         return (grains + cost, free_cpus, finish, index, start, duration_s)
 
     def _fetch_ends_at(self, job: PendingJob, index: int) -> float:
-        """When a machine without the job's image has it: after the plan's own fetch of it, if
-        there is one, or after a fetch that follows all others."""
-        if self._fetched_at:
-            fetched_at = self._fetched_at.get((index, job.image))
-            if fetched_at is not None:
-                return fetched_at
-        snapshot, now = self.snapshots[index], self.now
+        """When a fetch of the job's image that follows all others on the machine is through."""
+        snapshot = self.snapshots[index]
         free_at = self._fetch_free_at.get(index, snapshot.fetch_free_at)
-        return (free_at if free_at > now else now) + job.image_gb / snapshot.fetch_gb_per_s
+        return max(self.now, free_at) + job.image_gb / snapshot.fetch_gb_per_s
 
     def book(self, job: PendingJob, index: int, start: float, duration_s: float) -> None:
         """Reserve the room of one task, and its image's fetch, on the machine."""
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -134,18 +134,17 @@
     def _add_further_candidates(self) -> None:
         """Add the machines that get room so early that they could beat the best candidate."""
         job, pool, further, candidates = self.job, self.pool, self.further, self.candidates
+        # Local names: the loop goes over most machines for many jobs.
+        examined, snapshots, now = self.examined, pool.snapshots, pool.now
+        run_s, grain_s = job.estimated_run_s, self.grain_s
         position = self.next_further
         while position < len(further):
             changes_at, index = further[position]
-            lower_bound = (
-                (max(changes_at, pool.now) + job.estimated_run_s) / self.grain_s
-                + FUTURE_START_GRAINS
-                - 0.5
-            )
+            lower_bound = (max(changes_at, now) + run_s) / grain_s + FUTURE_START_GRAINS - 0.5
             if candidates and lower_bound > candidates[0][0]:
                 break
             position += 1
-            if index in self.examined or not is_eligible(job, pool.snapshots[index]):
+            if index in examined or not is_eligible(job, snapshots[index]):
                 continue
             candidate = pool.earliest_finish(job, index)
             if candidate is not None:
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from fallpulley.placement.snapshot import MachineSnapshot
-from fallpulley.resources import Resources
+from fallpulley.resources import TOLERANCE, Resources
 
 # Jobs of this priority level and above are urgent: they are served before all others.
 URGENT_PRIORITY_LEVEL = 2
@@ -65,5 +65,8 @@
         and (job.machine_types is None or snapshot.machine_type in job.machine_types)
         and (job.zone is None or snapshot.zone == job.zone)
         and (job.avoided_machines is None or snapshot.machine_id not in job.avoided_machines)
-        and job.resources.fits_in(snapshot.capacity)
+        # Resources.fits_in without its call: this is asked for most pairs of job and machine.
+        and job.resources.cpus <= snapshot.capacity.cpus + TOLERANCE
+        and job.resources.gpus <= snapshot.capacity.gpus + TOLERANCE
+        and job.resources.memory_gb <= snapshot.capacity.memory_gb + TOLERANCE
     )
