--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -7,7 +7,7 @@
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.estimate import remaining_run_time
-from fallpulley.placement.plan import URGENT_PRIORITY_LEVEL
+from fallpulley.placement.queue import URGENT_PRIORITY_LEVEL
 from fallpulley.shards.shard import Shard
 
 # An enum's member costs more to look up than a module's constant, and this runs for every job.
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -1,52 +1,16 @@
-"""From a held block to the picture a plan is made of."""
+"""Pending jobs and the order of their queue (T 3-1, Fig. 3-3)."""
 
 from __future__ import annotations
 
-import math
-
 import msgspec
 
-from fallpulley.context import ControllerContext
-from fallpulley.fleet.messages import MachineType
-from fallpulley.jobs.messages import JobKind
-from fallpulley.jobs.open_job import OpenJob
-from fallpulley.placement.estimate import remaining_run_time
-from fallpulley.placement.plan import (
-    URGENT_PRIORITY_LEVEL,
-    Booking,
-    MachineShapes,
-    MachineSnapshot,
-    PendingJob,
-    Plan,
-    count_shapes,
-    eligible,
-    make_plan,
-    queue_order,
-    remaining_time,
-)
-from fallpulley.placement.preempt import Preemption, Victim, choose_victims
-from fallpulley.records.registry import Registry
-from fallpulley.resources import Resources
-from fallpulley.settings import Team
-from fallpulley.shards.shard import Shard
-from fallpulley.workers.machine import Machine
-from fallpulley.workers.messages import TaskState
-
-# From a stop to the start in its place: a part of a report interval, and what a stopped task is
-# taken to need.
-STOP_REPORTS, STOP_S = 0.5, 1.0
-# Of a job that no task of has run for long, the share of tasks that go before all others: enough
-# for it to begin and to learn its run times, too little to hold up the rest.
-FIRST_SHARE = 0.05
-# Of the longest time within which a class's tasks should start, the share after which a job of it
-# counts as past its age bound: few of its tasks may be later, and shortest-first leaves the long
-# ones to the end of every backlog. Only for as much as so large a share of the fleet holds: where
-# more is late, going by age gives up the short jobs as well.
-LATE_SHARE = 0.6
-MAX_LATE_WORK_SHARE = 0.25
-# Of the time within which a class's tasks should start, the share they may wait for room;
-# the rest is for the stop, the next check-in and the image.
-PATIENCE_SHARE = 0.25
+from fallpulley.placement.snapshot import MachineSnapshot
+from fallpulley.resources import TOLERANCE, Resources
+
+# Jobs of this priority level and above are urgent: they are served before all others.
+URGENT_PRIORITY_LEVEL = 2
+
+QueueKey = tuple[float, float, float, float, float, float]
 
 
 def machine_snapshots(
@@ -79,52 +43,34 @@
     return snapshots
 
 
-def _snapshot(
-    shard: Shard,
-    machine: Machine,
-    machine_type: MachineType,
-    estimates: dict[str, float],
-    now: float,
-) -> MachineSnapshot:
-    """`estimates`: those of the jobs met in this plan so far; a job has tasks on many machines."""
-    running = []
-    slowness = machine.speed.slowness
-    until = math.inf
-    fetch_free = now
-    images = dict.fromkeys(machine.images.cached, 0.0)
-    for image, ready in machine.images.fetching.items():
-        images[image] = max(ready, now + 0.5)
-        fetch_free = max(fetch_free, images[image])
-    for run in machine.runs.values():
-        job = shard.jobs.get(run.job_id)
-        if job is None:
-            estimate = run.estimated_run_s
-        else:
-            known = estimates.get(run.job_id)
-            if known is None:
-                known = estimates[run.job_id] = shard.estimate_run_s(job)
-            estimate = known * slowness
-        if run.started_at is not None:
-            left = remaining_run_time(estimate, now - run.started_at)
-        else:
-            ready = images.get(job.spec.image, now) if job else now
-            left = estimate + max(0.0, ready - now)
-        if run.stop_grace_s is not None and job is not None:
-            left = min(left, job.spec.checkpoint_save_s + 1.0)
-        running.append((now + left, *run.resources))
-        until = min(until, now + left)
-    return MachineSnapshot(
-        machine.machine_id,
-        machine_type.name,
-        machine.entry.zone,
-        machine.entry.spot,
-        machine_type.capacity,
-        max(machine_type.fetch_gb_per_s, 1e-3),
-        slowness,
-        running,
-        images,
-        fetch_free,
-        valid_until=until,
+def queue_order(job: PendingJob) -> QueueKey:
+    """Shortest estimated remaining time first (T 3-1); overdue jobs before the others.
+
+    Tasks of a job have equal upward rank (none has children), so their order is free.
+    Exception 2: urgent jobs form a queue of their own before the rest, or those with long tasks
+    would wait behind every short one of lower priority. Exception 5: the age bound does not cross
+    the two: room made by stopping an old job's tasks would go back to that same job.
+    Exception 6: the first tasks of a job that none of has run for too long go before all, or in
+    a lasting burst of urgent or of short work the largest jobs would never begin.
+    """
+    if job.starved:
+        return (0, 0, 0, job.submitted_at, 0.0, 0.0)
+    if job.overdue:
+        return (1, not job.urgent, 0, job.submitted_at, 0.0, 0.0)
+    return (1, not job.urgent, 1, job.remaining_s, -job.estimated_run_s, job.submitted_at)
+
+
+def is_eligible(job: PendingJob, snapshot: MachineSnapshot) -> bool:
+    """Whether the job's tasks may run on the machine, were it empty."""
+    return (
+        (job.allow_spot or not snapshot.spot)
+        and (job.machine_types is None or snapshot.machine_type in job.machine_types)
+        and (job.zone is None or snapshot.zone == job.zone)
+        and (job.avoided_machines is None or snapshot.machine_id not in job.avoided_machines)
+        # Resources.fits_in without its call: this is asked for most pairs of job and machine.
+        and job.resources.cpus <= snapshot.capacity.cpus + TOLERANCE
+        and job.resources.gpus <= snapshot.capacity.gpus + TOLERANCE
+        and job.resources.memory_gb <= snapshot.capacity.memory_gb + TOLERANCE
     )
 
 
