--- a/fallpulley/placement/age_bound.py
+++ b/fallpulley/placement/age_bound.py
@@ -30,7 +30,7 @@
     """How many tasks of a job go before all others (exception 6): none, unless the job has
     waited for long and none of its tasks has completed."""
     waited_s = context.wall_time - job.ready_since_ms / 1000
-    if job.completed_count or waited_s < context.settings.operators.begin_bound_s:
+    if job.progress.completed.count or waited_s < context.settings.operators.begin_bound_s:
         return 0
     return math.ceil(FIRST_TASKS_SHARE * job.spec.task_count)
 
--- a/fallpulley/placement/pending_jobs.py
+++ b/fallpulley/placement/pending_jobs.py
@@ -36,7 +36,7 @@
         if not _may_be_placed(job, shard, context.now) or limits.forbid(job):
             continue
         task_count = job.waiting_count()
-        if not task_count or job.gang_restarting:
+        if not task_count or job.gang.restarting:
             continue
         entry = _pending_job(shard, context, job, task_count, shapes)
         pending += _split_first_tasks(entry, job, context)
@@ -52,7 +52,7 @@
     return not (
         job.cancelled
         or job.finished
-        or now < job.retry_at
+        or now < job.retry.not_before
         or shard.is_unreconciled(job)
         or job.waits_for_dependencies
     )
@@ -92,8 +92,8 @@
         task_count=task_count,
         image=spec.image,
         image_gb=spec.image_gb,
-        remaining_s=job.remaining_s + job.critical_path_s,
-        overdue=job.deadline_at_risk or waited_past_age_bound(job, context, estimate_s),
+        remaining_s=job.urgency.remaining_s + job.critical_path_s,
+        overdue=job.urgency.deadline_at_risk or waited_past_age_bound(job, context, estimate_s),
         submitted_at=job.ready_since_ms / 1000,
         allow_spot=spec.allow_spot,
         priority_level=job.priority_level,
@@ -108,11 +108,11 @@
 
 def _update_remaining_time(job: OpenJob, estimate_s: float, shapes: MachineShapes) -> None:
     """Estimate the job's remaining time (T 3-1) anew, unless nothing has changed that counts."""
-    unfinished = job.spec.task_count - job.completed_count
+    unfinished = job.spec.task_count - job.progress.completed.count
     inputs = (unfinished, shapes, round(estimate_s, 1))
-    if inputs != job.remaining_inputs:
-        job.remaining_inputs = inputs
-        job.remaining_s = remaining_time(job.resources, estimate_s, unfinished, shapes)
+    if inputs != job.urgency.remaining_inputs:
+        job.urgency.remaining_inputs = inputs
+        job.urgency.remaining_s = remaining_time(job.resources, estimate_s, unfinished, shapes)
 
 
 def _zone(job: OpenJob, shard: Shard) -> str | None:
@@ -136,7 +136,7 @@
 def _avoided_machines(job: OpenJob, shard: Shard) -> set[str] | None:
     """The machines on which the job failed; not if these are all there are: closed to it, they
     would stand idle beside it."""
-    failed = job.failed_machines or None
+    failed = job.retry.failed_machines or None
     if failed is not None and failed >= shard.machines.keys():
         return None
     return failed
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -49,23 +49,13 @@
 
 def make_plan(jobs: list[PendingJob], snapshots: list[MachineSnapshot], now: float) -> Plan:
     """Book the tasks of the queue, in order, each at its earliest finish."""
-    planner = _Planner(snapshots, now)
-    jobs = sorted(jobs, key=queue_order)
-    # Smallest need of this and all later jobs: once no machine has that much room now,
-    # nothing further can start, and the rest of the queue need not be booked. Urgent jobs are,
-    # to tell which have to wait too long.
-    least: list[Resources] = []
-    low = Resources(math.inf, math.inf, math.inf)
-    for job in reversed(jobs):
-        low = low.minimum(job.resources)
-        least.append(low)
-    least.reverse()
-    for place, job in enumerate(jobs):
-        if (
-            not planner.shrink(least[place])
-            and job.priority_level < URGENT_PRIORITY_LEVEL
-            and not job.starved
-        ):
+    builder = _PlanBuilder(snapshots, now)
+    queue = sorted(jobs, key=queue_order)
+    # Once no machine has room now for the least that is left, nothing further can start, and the
+    # rest of the queue need not be booked. Urgent jobs are, to learn which would wait too long.
+    for job, resources in zip(queue, _least_resources_left(queue), strict=True):
+        has_room = builder.pool.prune(resources, len(builder.plan.starts))
+        if not has_room and not job.urgent and not job.starved:
             break
         builder.place(job)
     return builder.plan
@@ -76,7 +66,7 @@
     least: list[Resources] = []
     lowest = Resources(math.inf, math.inf, math.inf)
     for job in reversed(queue):
-        lowest = lowest.least_of(job.resources)
+        lowest = lowest.minimum(job.resources)
         least.append(lowest)
     least.reverse()
     return least
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -69,8 +69,5 @@
         soon = self.context.now + PROMPT_INTERVALS * interval_s
         for machine_id in agent.shard.bookings:
             machine = agent.shard.machines.get(machine_id)
-            if (
-                machine is not None
-                and machine.heartbeat.received_at + self.context.timing.report_s > soon
-            ):
+            if machine is not None and machine.heartbeat.received_at + interval_s > soon:
                 agent.direct.prompt_heartbeat(machine)
--- a/fallpulley/placement/snapshot_builder.py
+++ b/fallpulley/placement/snapshot_builder.py
@@ -31,7 +31,7 @@
     for machine in shard.machines.values():
         if (
             not machine.usable
-            or not machine.marked_occupied
+            or not machine.flagged_occupied
             or now < machine.reliability.refuses_tasks_until
             or machine.scale_in.draining
         ):
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -63,6 +63,7 @@
 from fallpulley.standby import entries, replica
 from fallpulley.standby import messages as standby
 from fallpulley.state import client, transactions
+from fallpulley.state import messages as state
 from fallpulley.workers import messages as workers
 
 
@@ -211,9 +212,9 @@
     "lease request": Kind(dict, json.loads, encode_lease_request),
     "lease grant": read_only(records.LeaseGrant),
     "transaction": Kind(list, decode_transaction, encode_transaction),
-    "transaction answer": read_only(client._TransactionResponse),
-    "page": read_only(view._Page),
-    "changes": read_only(view._Changes),
+    "transaction answer": read_only(state.TransactionResponse),
+    "page": read_only(state.Page),
+    "changes": read_only(state.Events),
     "progress page": read_only(stored_progress.ProgressPage),
     "progress pair": read_only(stored_progress.ProgressItem),
     # Stored records.
