--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -212,7 +212,7 @@
     "lease request": Kind(dict, json.loads, encode_lease_request),
     "lease grant": read_only(records.LeaseGrant),
     "transaction": Kind(list, decode_transaction, encode_transaction),
-    "transaction answer": read_only(state.TransactionResponse),
+    "transaction answer": read_only(transactions.TransactionResponse),
     "page": read_only(state.Page),
     "changes": read_only(state.Events),
     "progress page": read_only(stored_progress.ProgressPage),
