--- a/fallpulley/placement/age_bound.py
+++ b/fallpulley/placement/age_bound.py
@@ -35,7 +35,7 @@
     return math.ceil(FIRST_TASKS_SHARE * job.spec.task_count)
 
 
-def mark_late_jobs_overdue(
+def promote_late_jobs(
     jobs: list[PendingJob], shard: Shard, context: ControllerContext, fleet_cpus: float
 ) -> None:
     """Count jobs about to miss their class's objective on starting as past the age bound
--- a/fallpulley/placement/pending_jobs.py
+++ b/fallpulley/placement/pending_jobs.py
@@ -11,7 +11,7 @@
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.age_bound import (
     first_tasks,
-    mark_late_jobs_overdue,
+    promote_late_jobs,
     waited_past_age_bound,
 )
 from fallpulley.placement.queue import PendingJob, queue_order
@@ -41,7 +41,7 @@
         entry = _pending_job(shard, context, job, task_count, shapes)
         pending += _split_first_tasks(entry, job, context)
     fleet_cpus = sum(snapshot.capacity.cpus for snapshot in snapshots)
-    mark_late_jobs_overdue(pending, shard, context, fleet_cpus)
+    promote_late_jobs(pending, shard, context, fleet_cpus)
     pending.sort(key=queue_order)
     limits.apply(pending)
     return [job for job in pending if job.task_count]
