--- a/fallpulley/placement/age_bound.py
+++ b/fallpulley/placement/age_bound.py
@@ -41,6 +41,8 @@
     """Count jobs about to miss their class's objective on starting as past the age bound
     (exception 9), the shortest first, as far as they fit into their share of the fleet."""
     bounds = _start_bounds(context)
+    if not bounds:
+        return
     late = [job for job in jobs if _is_late(job, shard, context, bounds)]
     free_cpus = MAX_LATE_WORK_SHARE * fleet_cpus
     for job in sorted(late, key=queue_order):
@@ -54,8 +56,9 @@
     job: PendingJob, shard: Shard, context: ControllerContext, bounds: dict[str, float]
 ) -> bool:
     bound_s = bounds.get(shard.jobs[job.job_id].spec.job_class)
-    waited_s = context.wall_time - job.submitted_at
-    return bound_s is not None and waited_s > bound_s and not job.urgent
+    if bound_s is None:
+        return False
+    return context.wall_time - job.submitted_at > bound_s and not job.urgent
 
 
 def _start_bounds(context: ControllerContext) -> dict[str, float]:
--- a/fallpulley/placement/pending_jobs.py
+++ b/fallpulley/placement/pending_jobs.py
@@ -21,6 +21,9 @@
 from fallpulley.settings import Team
 from fallpulley.shards.shard import Shard
 
+# Read for every task or job: a member of an enum takes ten times as long to look up.
+_GANG = JobKind.GANG
+
 
 def pending_jobs(
     shard: Shard,
@@ -102,7 +105,7 @@
         zone_limits=_zone_limits(job, shard) if spec.spread else None,
         one_zone=spec.one_zone,
         avoided_machines=_avoided_machines(job, shard),
-        all_at_once=spec.kind == JobKind.GANG and not job.runs,
+        all_at_once=spec.kind is _GANG and not job.runs,
     )
 
 
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -66,7 +66,10 @@
     least: list[Resources] = []
     lowest = Resources(math.inf, math.inf, math.inf)
     for job in reversed(queue):
-        lowest = lowest.minimum(job.resources)
+        cpus, gpus, memory_gb = job.resources
+        # Most jobs need no less than those after them: no new object for these.
+        if cpus < lowest.cpus or gpus < lowest.gpus or memory_gb < lowest.memory_gb:
+            lowest = lowest.minimum(job.resources)
         least.append(lowest)
     least.reverse()
     return least
@@ -82,7 +85,17 @@
 
     def place(self, job: PendingJob) -> None:
         """Book as many of the job's tasks as there is room for."""
-        _JobPlacement(self, job).book_tasks()
+        with_room = self.pool.with_room_for(job)
+        if with_room or self.later_bookings_left > 0:
+            _JobPlacement(self, job, with_room).book_tasks()
+        else:
+            # Nearly all of a long queue behind a full fleet: nothing can be booked.
+            self.note_unbooked(job, job.task_count)
+
+    def note_unbooked(self, job: PendingJob, count: int) -> None:
+        """Tasks of an urgent job for which not even a later start was found."""
+        if job.urgent and count > 0:
+            self.plan.later_starts.setdefault(job.job_id, []).extend([math.inf] * count)
 
 
 class _JobPlacement:
@@ -92,7 +105,8 @@
     room, and only while one of them could still beat the best candidate.
     """
 
-    def __init__(self, builder: _PlanBuilder, job: PendingJob) -> None:
+    def __init__(self, builder: _PlanBuilder, job: PendingJob, with_room: list[int]) -> None:
+        """`with_room`: the machines, by index, on which a task of the job could start now."""
         self.builder, self.pool, self.plan = builder, builder.pool, builder.plan
         self.job = job
         self.zone = job.zone
@@ -101,7 +115,6 @@
         self.first_start = len(self.plan.starts)
         self.booked_count = 0
         pool = self.pool
-        with_room = pool.with_room_for(job)
         self.candidates: list[Candidate] = [
             candidate for index in with_room if (candidate := pool.earliest_finish(job, index))
         ]
@@ -125,9 +138,7 @@
             candidate = heapq.heappop(candidates)
             if self._is_open(candidate):
                 self._book(candidate)
-        if job.urgent and self.booked_count < job.task_count:
-            unbooked = job.task_count - self.booked_count
-            self.plan.later_starts.setdefault(job.job_id, []).extend([math.inf] * unbooked)
+        builder.note_unbooked(job, job.task_count - self.booked_count)
         if job.all_at_once:
             self._withhold_incomplete_gang()
 
--- a/fallpulley/placement/preemption.py
+++ b/fallpulley/placement/preemption.py
@@ -16,6 +16,9 @@
 from fallpulley.workers.machine import TaskRun
 from fallpulley.workers.messages import TaskState
 
+# Read for every task or job: a member of an enum takes ten times as long to look up.
+_SAVING = TaskState.SAVING
+
 # From a stop to the start in its place: a part of a heartbeat interval, and the seconds that a
 # stopped task is taken to need.
 STOP_INTERVALS, STOP_SECONDS = 0.5, 1.0
@@ -172,7 +175,7 @@
 
 def _may_be_stopped(run: TaskRun) -> bool:
     """The task is known to be on its machine, and neither being stopped nor saving."""
-    return run.stop_grace_s is None and run.reported and run.state != TaskState.SAVING
+    return run.stop_grace_s is None and run.reported and run.state is not _SAVING
 
 
 def _lost_work(run: TaskRun, job: OpenJob, now: float) -> float:
--- a/fallpulley/placement/snapshot_builder.py
+++ b/fallpulley/placement/snapshot_builder.py
@@ -13,6 +13,9 @@
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import TaskState
 
+# Read for every task or job: a member of an enum takes ten times as long to look up.
+_EXITED = TaskState.EXITED
+
 # A fetch in progress is taken to need at least so long still, also past its estimate.
 MIN_FETCH_SECONDS = 0.5
 # What a task that is being stopped needs beyond saving its checkpoint.
@@ -48,7 +51,7 @@
 
 def _holds_unknown_tasks(machine: Machine) -> bool:
     return any(
-        status.state != TaskState.EXITED and task_id not in machine.runs
+        status.state is not _EXITED and task_id not in machine.runs
         for task_id, status in machine.tasks.items()
     )
 
--- a/fallpulley/placement/team_limits.py
+++ b/fallpulley/placement/team_limits.py
@@ -25,17 +25,19 @@
 
     def __init__(self, shard: Shard, teams: dict[str, Team]) -> None:
         self._shard = shard
-        self._teams = teams
+        self._limited_teams = {name: team for name, team in teams.items() if team.limited}
 
     def forbid(self, job: OpenJob) -> bool:
         """Whether the job has to wait because its team has a limit and may have used it up."""
-        return self._limited_team(job) is not None and not self._usage_known
+        return job.spec.team in self._limited_teams and not self._usage_known
 
     def apply(self, jobs: list[PendingJob]) -> None:
         """Reduce the task counts of limited teams' jobs to their limits, first jobs first."""
+        if not self._limited_teams:
+            return
         quotas: dict[str, _Quota] = {}
         for job in jobs:
-            team = self._limited_team(self._shard.jobs[job.job_id])
+            team = self._limited_teams.get(self._shard.jobs[job.job_id].spec.team)
             if team is None:
                 continue
             if team.name not in quotas:
@@ -45,10 +47,6 @@
             quota.cpus -= job.task_count * job.resources.cpus
             quota.gpus -= job.task_count * job.resources.gpus
 
-    def _limited_team(self, job: OpenJob) -> Team | None:
-        team = self._teams.get(job.spec.team)
-        return team if team is not None and team.limited else None
-
     @cached_property
     def _usage_known(self) -> bool:
         """False: tasks that we cannot see, or cannot ascribe to a team, may use up a limit."""
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -21,6 +21,12 @@
 
 log = logging.getLogger(__name__)
 
+# Read for every task or job: a member of an enum takes ten times as long to look up.
+_GANG = JobKind.GANG
+_FORGET = Operation.FORGET
+_STOP = Operation.STOP
+_START = Operation.START
+
 # Constants, since enum members are looked up slowly: these are used for every task of a heartbeat.
 EXITED = TaskState.EXITED
 DONE = ExitReason.DONE
@@ -57,7 +63,7 @@
         machine.snapshot = None
         log.debug("task start commanded task=%s machine=%s", run.task_id, machine.machine_id)
         machine.scale_in.idle_since = None
-        return TaskCommand(Operation.START, run.task_id, run.attempt)
+        return TaskCommand(_START, run.task_id, run.attempt)
 
     def stop(self, run: TaskRun, grace_period_s: float) -> None:
         """Stop a task with the next response to its machine, and directly now if the machine can be
@@ -69,7 +75,7 @@
             return
         machine.snapshot = None
         if run.reported and machine.entry.address:
-            command = TaskCommand(Operation.STOP, run.task_id, run.attempt, grace_period_s)
+            command = TaskCommand(_STOP, run.task_id, run.attempt, grace_period_s)
             self.direct.send(machine, [command])
 
     def preempt(self, machine_id: str, task_ids: list[str]) -> None:
@@ -81,7 +87,7 @@
             run = machine.runs[task_id]
             run.stop_grace_s = 0.0
             self.shard.decisions.task_stopped(run)
-            commands.append(TaskCommand(Operation.STOP, run.task_id, run.attempt, 0.0))
+            commands.append(TaskCommand(_STOP, run.task_id, run.attempt, 0.0))
             log.info("task preempted task=%s machine=%s", run.task_id, machine_id)
         if machine.entry.address:
             self.direct.send(machine, commands)
@@ -92,20 +98,18 @@
         for task_id, status in machine.tasks.items():
             if status.state is EXITED:
                 if self._may_forget(status):
-                    commands.append(TaskCommand(Operation.FORGET, task_id, status.attempt))
+                    commands.append(TaskCommand(_FORGET, task_id, status.attempt))
                 continue
             run = machine.runs.get(task_id)
             if run is None or run.attempt != status.attempt:
-                commands.append(TaskCommand(Operation.STOP, task_id, status.attempt, 0.0))
+                commands.append(TaskCommand(_STOP, task_id, status.attempt, 0.0))
             elif run.stop_grace_s is not None:
-                commands.append(
-                    TaskCommand(Operation.STOP, task_id, status.attempt, run.stop_grace_s)
-                )
+                commands.append(TaskCommand(_STOP, task_id, status.attempt, run.stop_grace_s))
         return commands
 
     def _attempt_for(self, job: OpenJob) -> int | None:
         """The attempt number of the job's next start; None where there is none to give out."""
-        if job.spec.kind == JobKind.GANG and job.runs:
+        if job.spec.kind is _GANG and job.runs:
             # The tasks of a gang find each other by their common attempt.
             return job.gang.attempt
         numbers = self.shard.attempt_numbers
--- a/fallpulley/shards/run_times.py
+++ b/fallpulley/shards/run_times.py
@@ -7,6 +7,9 @@
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine, TaskRun
 
+# Read for every task or job: a member of an enum takes ten times as long to look up.
+_SERVICE = JobKind.SERVICE
+
 # Lower bound of a recorded run time: estimates and ratios stay above zero.
 MIN_RUN_SECONDS = 0.1
 
@@ -14,7 +17,7 @@
 def record_run_time(shard: Shard, machine: Machine, job: OpenJob, run: TaskRun | None) -> None:
     """A task of the job has completed on the machine; `run`: our attempt of it, if it was ours."""
     machine.reliability.completed_tasks += 1
-    if run is None or run.started_at is None or job.spec.kind == JobKind.SERVICE:
+    if run is None or run.started_at is None or job.spec.kind is _SERVICE:
         return
     run_s = max(MIN_RUN_SECONDS, shard.context.now - run.started_at)
     # The estimate as it was before this run time: recording it changes the estimate.
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -26,6 +26,10 @@
 
 log = logging.getLogger(__name__)
 
+# Read for every task or job: a member of an enum takes ten times as long to look up.
+_EXITED = TaskState.EXITED
+_SERVICE = JobKind.SERVICE
+
 # A machine on which so many different jobs failed, and that completed less, is faulty.
 FAULTY_MACHINE_JOBS = 3
 # A service runs until it is cancelled; it is booked for so many worker leases at a time.
@@ -129,14 +133,14 @@
         """Whether a machine has tasks of no open job: most likely of one that has ended, so that
         no record says what they take, or for which team."""
         return any(
-            status.state != TaskState.EXITED and task_id not in machine.runs
+            status.state is not _EXITED and task_id not in machine.runs
             for machine in self.machines.values()
             for task_id, status in machine.tasks.items()
         )
 
     def estimate_run_s(self, job: OpenJob) -> float:
         """How long a task of the job runs, in seconds, without its image fetch."""
-        if job.spec.kind == JobKind.SERVICE:
+        if job.spec.kind is _SERVICE:
             return SERVICE_LEASES * self.context.timing.lease_s
         corrected_s = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
         return run_estimate(corrected_s, job.run_times.tasks, job.run_times.total_s)
--- a/fallpulley/shards/task_changes.py
+++ b/fallpulley/shards/task_changes.py
@@ -16,6 +16,10 @@
 
 log = logging.getLogger(__name__)
 
+# Read for every task or job: a member of an enum takes ten times as long to look up.
+_DONE = ExitReason.DONE
+_ERROR = ExitReason.ERROR
+
 
 class TaskChanges:
     """Applies the changes of tasks on one shard's machines to its jobs."""
@@ -61,7 +65,7 @@
         if run is not None:
             job.runs.pop(run.task_index, None)
             self.shard.decisions.task_gone(run, status.exit_reason or "")
-        if status.exit_reason == ExitReason.DONE:
+        if status.exit_reason is _DONE:
             if job.progress.record_completion(task.task_index, self.context.now):
                 log.debug("task completed task=%s machine=%s", status.task_id, machine.machine_id)
                 record_run_time(self.shard, machine, job, run)
@@ -79,7 +83,7 @@
         )
         job.requeue(run.task_index)
         now, timing = self.context.now, self.context.timing
-        if exit_reason == ExitReason.ERROR:
+        if exit_reason is _ERROR:
             job.retry.record_failure(machine.machine_id, now, timing.lease_s)
             machine.reliability.failed_jobs.add(job.job_id)
         elif exit_reason in START_REFUSALS:
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -25,6 +25,9 @@
 
 log = logging.getLogger(__name__)
 
+# Most urgent first; going over the enum itself in every step takes longer.
+_PRIORITIES = tuple(RequestPriority)
+
 # The service counts over all controllers; clocks and delays make shares overlap a little.
 BUDGET_SHARE_USED = 0.92
 # Share of the saved-up budget that requests of a priority leave to those before them, so that
@@ -121,7 +124,9 @@
         """Send what the budgets allow, most urgent first."""
         self.request_budget.refill(now)
         self.change_budget.refill(now)
-        for priority in RequestPriority:
+        for priority in _PRIORITIES:
+            if not self._requests[priority] and not self._writes[priority]:
+                continue
             self._refuse_expired(priority, now)
             reserved_share = RESERVED_SHARE.get(priority, 0.0)
             min_tokens = max(1.0, reserved_share * self.request_budget.capacity)
--- a/fallpulley/workers/heartbeat_changes.py
+++ b/fallpulley/workers/heartbeat_changes.py
@@ -9,8 +9,13 @@
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import Heartbeat, TaskState, TaskStatus
 
+# Read for every task or job: a member of an enum takes ten times as long to look up.
+_EXITED = TaskState.EXITED
+_RUNNING = TaskState.RUNNING
+_SAVING = TaskState.SAVING
+
 # States of a task that is past its image fetch.
-STARTED: Final = (TaskState.RUNNING, TaskState.SAVING)
+STARTED: Final = (_RUNNING, _SAVING)
 
 
 class ExitedTask(NamedTuple):
@@ -78,7 +83,7 @@
     run = machine.runs.get(status.task_id)
     if run is not None and run.attempt != status.attempt:
         run = None
-    if status.state is TaskState.EXITED:
+    if status.state is _EXITED:
         if run is not None:
             del machine.runs[status.task_id]
         changes.exited.append(ExitedTask(run, status))
