--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -88,7 +88,9 @@
         # What looks at every machine and job runs by the clock, not with every batch.
         if self.context.now < self._next_tick_at:
             return
-        self._next_tick_at = self.context.now + TICK_INTERVALS * self.context.timing.report_s
+        self._next_tick_at = (
+            self.context.now + TICK_INTERVALS * self.context.timing.heartbeat_interval_s
+        )
         self.heartbeats.recheck_deferred()
         self._tick()
 
@@ -106,7 +108,7 @@
             self.provider.tick(term)
         occupancy_due = self.context.now >= self._next_occupancy_at
         if occupancy_due:
-            interval_s = OCCUPANCY_INTERVALS * self.context.timing.report_s
+            interval_s = OCCUPANCY_INTERVALS * self.context.timing.heartbeat_interval_s
             self._next_occupancy_at = self.context.now + interval_s
         for agent in self.owned.agents.values():
             self._tick_shard(agent, occupancy_due, term is not None)
--- a/fallpulley/controller/shard_lifecycle.py
+++ b/fallpulley/controller/shard_lifecycle.py
@@ -9,7 +9,7 @@
 from fallpulley.controller.job_sync import JobSync
 from fallpulley.extensions import Extensions
 from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import PreviousOwner, ShardRecord
+from fallpulley.records.shard_record import OwnerProcess, ShardRecord
 from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.owned import OwnedShards
@@ -37,9 +37,9 @@
         self.job_sync = job_sync
         self.extensions = extensions
         # Of shards that we own: owners before us that are not known to have ended.
-        self._previous_owners: dict[str, list[PreviousOwner]] = {}
+        self._previous_owners: dict[str, list[OwnerProcess]] = {}
 
-    def on_record(self, shard_id: str, previous: PreviousOwner | None) -> None:
+    def on_record(self, shard_id: str, previous: OwnerProcess | None) -> None:
         """A shard's record has changed; `previous` owned it before the change, if anybody did."""
         entry = self.registry.shards.get(shard_id)
         if entry is None or not self._is_ours(entry[0]):
@@ -63,7 +63,7 @@
         shard_id: str,
         record: ShardRecord,
         mod_revision: int,
-        previous: PreviousOwner | None,
+        previous: OwnerProcess | None,
     ) -> None:
         shard = Shard(self.context, shard_id, record, mod_revision, fresh=previous is None)
         self.owned.add(ShardAgent(self.context, shard))
@@ -101,7 +101,7 @@
                 agent.lease_expiry.on_previous_owners_ended()
                 del self._previous_owners[shard_id]
 
-    def _has_ended(self, previous: PreviousOwner) -> bool:
+    def _has_ended(self, previous: OwnerProcess) -> bool:
         context = self.context
         return self.registry.has_ended(previous, context.controller_id, context.incarnation)
 
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -10,7 +10,7 @@
 from fallpulley.duties.registry import DutyRegistry
 from fallpulley.extensions import Extension
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.records.shard_record import PreviousOwner
+from fallpulley.records.shard_record import OwnerProcess
 from fallpulley.shards.shard import Shard
 
 
@@ -39,7 +39,7 @@
         for machine_id in changed:
             self._update_release_decision(machine_id)
 
-    def on_shard_acquired(self, shard: Shard, previous: PreviousOwner | None) -> None:
+    def on_shard_acquired(self, shard: Shard, previous: OwnerProcess | None) -> None:
         """Some of the shard's machines may be about to be released."""
         self.on_shard_updated(shard)
 
--- a/fallpulley/extensions.py
+++ b/fallpulley/extensions.py
@@ -10,7 +10,7 @@
 
 from fallpulley.effects import OperatorRequest
 from fallpulley.fleet.action_guard import ActionGuard, PermitAll
-from fallpulley.records.shard_record import PreviousOwner
+from fallpulley.records.shard_record import OwnerProcess
 from fallpulley.shards.shard import Shard
 
 E = TypeVar("E", bound="Extension")
@@ -42,7 +42,7 @@
     def on_session_began(self, controller_id: str) -> None:
         """The records show a new incarnation of a controller."""
 
-    def on_shard_acquired(self, shard: Shard, previous: PreviousOwner | None) -> None:
+    def on_shard_acquired(self, shard: Shard, previous: OwnerProcess | None) -> None:
         """This controller owns the shard from now on; `previous` owned it last, if anybody did."""
 
     def on_shard_updated(self, shard: Shard) -> None:
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -104,7 +104,9 @@
             return True
         timing = self.context.timing
         unknown_s = (
-            timing.lease_s if shard.unreconciled else UNKNOWN_WORK_HEARTBEATS * timing.report_s
+            timing.lease_s
+            if shard.unreconciled
+            else UNKNOWN_WORK_HEARTBEATS * timing.heartbeat_interval_s
         )
         return self.context.now >= shard.acquired_at + unknown_s
 
--- a/fallpulley/fleet/supply.py
+++ b/fallpulley/fleet/supply.py
@@ -23,7 +23,7 @@
     shard: Shard, machine_types: dict[str, MachineType], now: float
 ) -> list[SupplyUnit]:
     """The machines of the shard's record that are up, or about to be."""
-    max_unacknowledged_s = UNACKNOWLEDGED_HEARTBEATS * shard.context.timing.report_s
+    max_unacknowledged_s = UNACKNOWLEDGED_HEARTBEATS * shard.context.timing.heartbeat_interval_s
     supply = []
     for machine in shard.machines.values():
         machine_type = machine_types.get(machine.entry.machine_type)
--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -39,7 +39,7 @@
         self, pending_response: PendingResponse, agent: ShardAgent, machine: Machine, newer: bool
     ) -> None:
         """A heartbeat that has been applied; `newer`: it was newer than what was known."""
-        deadline_at = self.context.now + DEFER_INTERVALS * self.context.timing.report_s
+        deadline_at = self.context.now + DEFER_INTERVALS * self.context.timing.heartbeat_interval_s
         self._arrived.append(
             DeferredHeartbeat(pending_response, agent, machine, newer, deadline_at)
         )
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -60,7 +60,7 @@
             self._loader.load(shard)
             return
         now = self.context.now
-        delay_s = PROGRESS_DELAY_HEARTBEATS * self.context.timing.report_s
+        delay_s = PROGRESS_DELAY_HEARTBEATS * self.context.timing.heartbeat_interval_s
         for job in shard.jobs.values():
             if job.cancelled:
                 continue
--- a/fallpulley/membership/shard_assignment.py
+++ b/fallpulley/membership/shard_assignment.py
@@ -11,7 +11,7 @@
 from fallpulley.membership.session import SessionLease
 from fallpulley.records.keys import SESSION_PREFIX, SHARD_PREFIX
 from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import PreviousOwner, ShardRecord
+from fallpulley.records.shard_record import OwnerProcess, ShardRecord
 from fallpulley.records.versioned import Versioned
 from fallpulley.state.transactions import Change
 from fallpulley.state.watch_cache import WatchCache
@@ -133,7 +133,7 @@
         changed = _with_owner(record, self._context.controller_id, incarnation, previous_owners)
         self._write_record(key, conditions, changed)
 
-    def _previous_owners(self, record: ShardRecord) -> list[PreviousOwner]:
+    def _previous_owners(self, record: ShardRecord) -> list[OwnerProcess]:
         return self._registry.previous_owners(
             record, self._context.controller_id, self._context.incarnation
         )
@@ -146,7 +146,7 @@
 
 
 def _with_owner(
-    record: ShardRecord, owner: str, incarnation: str, previous_owners: list[PreviousOwner]
+    record: ShardRecord, owner: str, incarnation: str, previous_owners: list[OwnerProcess]
 ) -> ShardRecord:
     return msgspec.structs.replace(
         record, owner=owner, incarnation=incarnation, previous_owners=previous_owners
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -57,7 +57,7 @@
 
     def _schedule_next(self, plan_s: float) -> None:
         """Set the time of the next plan by what this one took."""
-        interval_s = self.context.timing.report_s
+        interval_s = self.context.timing.heartbeat_interval_s
         wait_s = min(plan_s * WAIT_PER_PLAN_TIME, MAX_WAIT_INTERVALS * interval_s)
         wait_s = max(wait_s, plan_s * MIN_WAIT_PER_PLAN_TIME, MIN_WAIT_INTERVALS * interval_s)
         self.ready_at = self.context.now + wait_s
@@ -65,7 +65,7 @@
 
     def _prompt_heartbeats(self, agent: ShardAgent) -> None:
         """Ask machines with new bookings for a heartbeat now, unless theirs is due soon."""
-        interval_s = self.context.timing.report_s
+        interval_s = self.context.timing.heartbeat_interval_s
         soon = self.context.now + PROMPT_INTERVALS * interval_s
         for machine_id in agent.shard.bookings:
             machine = agent.shard.machines.get(machine_id)
--- a/fallpulley/placement/preemption.py
+++ b/fallpulley/placement/preemption.py
@@ -106,7 +106,7 @@
     # A stop takes effect with its machine's next heartbeat. Room that comes by then cannot be
     # had sooner: without this, a task that was late already had others stopped for it in
     # plan after plan while the first stops were still under way.
-    soonest_s = STOP_INTERVALS * context.timing.report_s + STOP_SECONDS
+    soonest_s = STOP_INTERVALS * context.timing.heartbeat_interval_s + STOP_SECONDS
     for job in pending:
         max_wait_s = max_waits.get(shard.jobs[job.job_id].spec.job_class)
         if max_wait_s is None or not job.urgent:
--- a/fallpulley/records/registry.py
+++ b/fallpulley/records/registry.py
@@ -24,7 +24,7 @@
 from fallpulley.records.messages import FormatMarker, ReleaseRecord, Session, TeamShard
 from fallpulley.records.page_assembly import PageAssembly
 from fallpulley.records.shard_record import (
-    PreviousOwner,
+    OwnerProcess,
     ShardRecord,
     decode_page,
     decode_shard_header,
@@ -204,10 +204,10 @@
         """Processors of a shard's machines by type, zone and whether they are spot machines."""
         return self._processor_counts.by_shape(shard_id, self.shards[shard_id], self.machine_types)
 
-    def owners(self) -> dict[str, PreviousOwner]:
+    def owners(self) -> dict[str, OwnerProcess]:
         """The process that owns each shard now."""
         return {
-            shard_id: PreviousOwner(record.owner, record.incarnation)
+            shard_id: OwnerProcess(record.owner, record.incarnation)
             for shard_id, (record, _) in self.shards.items()
         }
 
@@ -221,7 +221,7 @@
         session = self.sessions.get(record.owner)
         return session is not None and session.value.incarnation == record.incarnation
 
-    def has_ended(self, process: PreviousOwner, controller_id: str, incarnation: str) -> bool:
+    def has_ended(self, process: OwnerProcess, controller_id: str, incarnation: str) -> bool:
         """A process has certainly ended, since its controller has a newer one.
 
         `controller_id` and `incarnation` are our own. Records come in one order, so a session
@@ -234,12 +234,12 @@
 
     def previous_owners(
         self, record: ShardRecord, controller_id: str, incarnation: str
-    ) -> list[PreviousOwner]:
+    ) -> list[OwnerProcess]:
         """The previous owners of a shard that is to change owners: those not known to have ended.
 
         `controller_id` and `incarnation` are our own.
         """
-        owners = [*record.previous_owners, PreviousOwner(record.owner, record.incarnation)]
+        owners = [*record.previous_owners, OwnerProcess(record.owner, record.incarnation)]
         return [
             process
             for process in dict.fromkeys(owners)
--- a/fallpulley/records/shard_record.py
+++ b/fallpulley/records/shard_record.py
@@ -18,13 +18,13 @@
     "MachineEntry",
     "MachinePage",
     "Machines",
-    "PreviousOwner",
+    "OwnerProcess",
     "ShardRecord",
     "decode_shard",
 ]
 
 
-class PreviousOwner(msgspec.Struct, frozen=True, array_like=True):
+class OwnerProcess(msgspec.Struct, frozen=True, array_like=True):
     """A process of a controller that owned a shard before its owner of today."""
 
     controller_id: str
@@ -52,7 +52,7 @@
     # Previous owners that may still answer machines within their windows. Not the last one alone:
     # an owner cut off with half the machines went on answering them while its successor came
     # and ended, and that end was taken for its own.
-    previous_owners: list[PreviousOwner] = []
+    previous_owners: list[OwnerProcess] = []
     compact: bool = False  # it was read in the compact format or a newer one
     # Where the machines stand in pages: these, by number.
     pages: dict[int, MachinePage] = {}
@@ -115,7 +115,7 @@
     owner: str
     incarnation: str
     grouped_machines: bytes = b""  # in base64; the groups as JSON, compressed
-    previous_owners: list[PreviousOwner] = []
+    previous_owners: list[OwnerProcess] = []
     compact_machines: bytes = b""  # likewise, in the compact format: runs
     page_versions: list[tuple[int, int]] = []  # in the paged format: number, version
 
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -213,7 +213,7 @@
             # What is requested within a part of a heartbeat interval goes out together: a record
             # of hundreds of machines is read by every controller at each change.
             state.next_write_at = (
-                self.context.now + WRITE_INTERVAL_SHARE * self.context.timing.report_s
+                self.context.now + WRITE_INTERVAL_SHARE * self.context.timing.heartbeat_interval_s
             )
 
         self.context.state_client.write(
--- a/fallpulley/shards/fencing.py
+++ b/fallpulley/shards/fencing.py
@@ -58,7 +58,9 @@
     def _may_probe(self, machine: Machine) -> bool:
         now = self.context.now
         # The response to its own heartbeat carried our token: its next one reports it.
-        has_token = now < machine.fencing.unfenced_heartbeat_at + self.context.timing.report_s
+        has_token = (
+            now < machine.fencing.unfenced_heartbeat_at + self.context.timing.heartbeat_interval_s
+        )
         return (
             bool(machine.entry.address)
             and not machine.fencing.probe_in_flight
@@ -69,7 +71,7 @@
     def _probe(self, machine: Machine) -> None:
         machine.fencing.probe_in_flight = True
         machine.fencing.next_probe_at = (
-            self.context.now + RETRY_INTERVALS * self.context.timing.report_s
+            self.context.now + RETRY_INTERVALS * self.context.timing.heartbeat_interval_s
         )
         self.in_flight += 1
 
--- a/fallpulley/shards/preemption_notice.py
+++ b/fallpulley/shards/preemption_notice.py
@@ -31,7 +31,7 @@
         ):
             continue
         saves = job.spec.checkpoint_interval_s > 0
-        stop_s = job.spec.checkpoint_save_s + STOP_INTERVALS * context.timing.report_s
+        stop_s = job.spec.checkpoint_save_s + STOP_INTERVALS * context.timing.heartbeat_interval_s
         if saves and remaining_s > stop_s:
             continue  # there is time for more work before saving
         commands.stop(run, remaining_s if saves else 0.0)
--- a/fallpulley/shards/task_changes.py
+++ b/fallpulley/shards/task_changes.py
@@ -87,4 +87,4 @@
             job.retry.record_failure(machine.machine_id, now, timing.lease_s)
             machine.reliability.failed_jobs.add(job.job_id)
         elif exit_reason in START_REFUSALS:
-            machine.reliability.refuses_tasks_until = now + timing.report_s
+            machine.reliability.refuses_tasks_until = now + timing.heartbeat_interval_s
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -92,7 +92,9 @@
         context = self._access.context
         if context.now < self._next_reconcile_at or not self._is_ready():
             return
-        self._next_reconcile_at = context.now + RECONCILE_INTERVALS * context.timing.report_s
+        self._next_reconcile_at = (
+            context.now + RECONCILE_INTERVALS * context.timing.heartbeat_interval_s
+        )
         targets = self._targets()
         for shard in self._access.owned.shards.values():
             if self._access.session.is_live() and not shard.unreconciled:
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -8,7 +8,7 @@
 from fallpulley.context import ControllerContext
 from fallpulley.extensions import Extension
 from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import PreviousOwner
+from fallpulley.records.shard_record import OwnerProcess
 from fallpulley.shards.shard import Shard
 from fallpulley.standby.failover import ExpectedTasks, apply_replica, log_comparison
 from fallpulley.standby.follower import FollowedShard, Follower, ShardOwner
@@ -71,13 +71,13 @@
 
     # -- events of the controller ----------------------------------------------------------
 
-    def on_shard_acquired(self, shard: Shard, previous: PreviousOwner | None) -> None:
+    def on_shard_acquired(self, shard: Shard, previous: OwnerProcess | None) -> None:
         """Use the replica, if it is of the previous owner, and begin a stream to the followers."""
         followed = self.follower.shards.pop(shard.shard_id, None)
         self._logged_replaced.discard(shard.shard_id)
         self.expected.pop(shard.shard_id, None)
         if followed is not None and followed.replica is not None:
-            if previous == PreviousOwner(followed.owner, followed.incarnation):
+            if previous == OwnerProcess(followed.owner, followed.incarnation):
                 self.expected[shard.shard_id] = apply_replica(shard, followed.replica)
         elif previous is not None:
             log.info("failover without replica shard=%s", shard.shard_id)
--- a/fallpulley/timing.py
+++ b/fallpulley/timing.py
@@ -19,7 +19,7 @@
 class Timing:
     """How long heartbeats, leases and sessions last; all in seconds."""
 
-    report_s: float  # between two heartbeats of a worker
+    heartbeat_interval_s: float  # between two heartbeats of a worker
     lease_s: float  # a worker's lease
     response_window_s: float  # how long an owner without the state service goes on responding
     session_s: float  # a controller's session, from its last renewal
@@ -35,7 +35,7 @@
     if standby.enabled:
         session_s = min(session_s, standby.session_s)
     return Timing(
-        report_s=workers.report_s,
+        heartbeat_interval_s=workers.report_s,
         lease_s=workers.lease_s,
         response_window_s=workers.cancel_s - workers.lease_s - slack_s,
         session_s=session_s,
