--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -4,7 +4,6 @@
 
 import logging
 
-from fallpulley.balancing.shard_sizes import target_sizes
 from fallpulley.context import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.service import JobService
@@ -13,6 +12,7 @@
 from fallpulley.mesh.peers import Peers
 from fallpulley.records.registry import Registry
 from fallpulley.records.writer import ShardWriter
+from fallpulley.shard_sizes import target_sizes
 from fallpulley.shards.shard import Shard
 
 log = logging.getLogger(__name__)
--- a/fallpulley/capacity.py
+++ b/fallpulley/capacity.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
-from fallpulley.balancing.shard_sizes import (
+from fallpulley.settings import SERVE_SHARE, Settings
+from fallpulley.shard_sizes import (
     HEARTBEAT_CPU_SECONDS,
     HEARTBEAT_CPU_SHARE,
     machines_per_shard,
 )
-from fallpulley.settings import SERVE_SHARE, Settings
 
 # What a controller was measured to need, on simulated machines. Processor time from its start to
 # its first session, rounded up, and what it uses as a share of a core with nothing to do.
@@ -22,8 +22,7 @@
 MAX_START_LEASES = 0.5
 
 
-@dataclass(frozen=True, slots=True)
-class Shortage:
+class Shortage(msgspec.Struct, frozen=True):
     """A setting that says the machine or the deployment has too little of something. As a string
     it is what operators read."""
 
--- /dev/null
+++ b/fallpulley/cloud/__init__.py
@@ -0,0 +1,1 @@
+"""The cloud's protocol."""
--- a/fallpulley/fleet/messages.py
+++ b/fallpulley/cloud/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fallpulley.fleet.offer import Offer
+from fallpulley.cloud.offer import Offer
 from fallpulley.resources import Resources
 
 # What the cloud's protocol allows: machines in a page of its list, in a release and in a rental.
--- a/fallpulley/context.py
+++ b/fallpulley/context.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from fallpulley.effects import Effect, HttpCall, PendingResponse, ResponseHandler, SendResponse
-from fallpulley.records.formats import RecordFormat
+from fallpulley.record_format import RecordFormat
 from fallpulley.settings import Settings
 from fallpulley.state.client import StateClient
 from fallpulley.timing import timing_of
--- a/fallpulley/controller/peer_messages.py
+++ b/fallpulley/controller/peer_messages.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from fallpulley.cloud.offer import Offer
 from fallpulley.controller.job_sync import JobSync
 from fallpulley.extensions import Extensions
-from fallpulley.fleet.offer import Offer
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.messages import JobState
 from fallpulley.jobs.service import JobService
--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -9,16 +9,16 @@
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.heartbeats.handler import HeartbeatHandler
-from fallpulley.jobs.persistence import JobPersistence
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.messages import MachineRequest, TaskCount
 from fallpulley.mesh.peers import Peers
 from fallpulley.mesh.task_counts import TaskCountRotation
-from fallpulley.placement.planner import Planner
+from fallpulley.persistence.job_persistence import JobPersistence
 from fallpulley.records.registry import Registry
 from fallpulley.records.writer import ShardWriter
+from fallpulley.scheduling.planner import Planner
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.owned import OwnedShards
--- a/fallpulley/controller/shard_lifecycle.py
+++ b/fallpulley/controller/shard_lifecycle.py
@@ -4,13 +4,13 @@
 
 import logging
 
-from fallpulley.balancing.shard_sizes import change_share
 from fallpulley.context import ControllerContext
 from fallpulley.controller.job_sync import JobSync
 from fallpulley.extensions import Extensions
 from fallpulley.records.registry import Registry
 from fallpulley.records.shard_record import OwnerProcess, ShardRecord
 from fallpulley.records.writer import ShardWriter
+from fallpulley.shard_sizes import change_share
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.shards.shard import Shard
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+
+import msgspec
 
 from fallpulley.balancing.balancer import ShardBalancer
 from fallpulley.context import ControllerContext
@@ -20,14 +21,14 @@
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.heartbeats.handler import HeartbeatHandler
-from fallpulley.jobs.persistence import JobPersistence
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.peers import Peers
-from fallpulley.placement.planner import Planner
+from fallpulley.persistence.job_persistence import JobPersistence
 from fallpulley.records.registry import Registry
 from fallpulley.records.writer import ShardWriter
+from fallpulley.scheduling.planner import Planner
 from fallpulley.settings import Settings
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.owned import OwnedShards
@@ -40,8 +41,7 @@
 MIN_WATCH_INTERVAL_SECONDS = 0.05
 
 
-@dataclass(frozen=True)
-class ControllerParts:
+class ControllerParts(msgspec.Struct, frozen=True):
     """The parts of one controller, each given at its construction what it needs of others."""
 
     context: ControllerContext
--- a/fallpulley/controller_access.py
+++ b/fallpulley/controller_access.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 from fallpulley.context import ControllerContext
 from fallpulley.membership.leadership import Leadership
@@ -16,8 +16,7 @@
 MAX_WRITE_WAIT_SECONDS = 2.0
 
 
-@dataclass(frozen=True)
-class ControllerAccess:
+class ControllerAccess(msgspec.Struct, frozen=True):
     """The controller's parts that extensions read, and how they write records of their own."""
 
     context: ControllerContext
--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
+from fallpulley.cloud.messages import RentalRequest
 from fallpulley.controller_access import ControllerAccess
 from fallpulley.duties.intents import IntentWriter
 from fallpulley.duties.messages import Duty, Release, ScaleOut, duty_key
 from fallpulley.duties.ownership import DutyOwnership
 from fallpulley.duties.registry import DutyRegistry
 from fallpulley.fleet.action_guard import ActionGuard
-from fallpulley.fleet.messages import RentalRequest
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.records.keys import SHARD_PREFIX
 
--- a/fallpulley/duties/messages.py
+++ b/fallpulley/duties/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.fleet.messages import RentalRequest
+from fallpulley.cloud.messages import RentalRequest
 
 DUTY_PREFIX, INTENT_PREFIX = "live/duty/", "live/intent/"
 
--- a/fallpulley/fleet/abandonment.py
+++ b/fallpulley/fleet/abandonment.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from enum import Enum
 
+from fallpulley.cloud.messages import DEFAULT_BOOT_SECONDS, FAILED_STATE
 from fallpulley.context import ControllerContext
-from fallpulley.fleet.messages import DEFAULT_BOOT_SECONDS, FAILED_STATE
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.records.registry import Registry
 from fallpulley.records.writer import ShardWriter
--- a/fallpulley/fleet/action_guard.py
+++ b/fallpulley/fleet/action_guard.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from fallpulley.fleet.messages import RentalRequest
+from fallpulley.cloud.messages import RentalRequest
 
 
 class ActionGuard(Protocol):
--- a/fallpulley/fleet/adoption.py
+++ b/fallpulley/fleet/adoption.py
@@ -5,9 +5,9 @@
 import logging
 from collections.abc import Callable
 
+from fallpulley.cloud.messages import FAILED_STATE, ListedMachine
 from fallpulley.context import ControllerContext
 from fallpulley.fleet.action_guard import ActionGuard
-from fallpulley.fleet.messages import FAILED_STATE, ListedMachine
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.rentals import Rentals
 from fallpulley.fleet.shard_choice import ShardChoice
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from fallpulley.cloud.messages import DEFAULT_BOOT_SECONDS, MachineType
 from fallpulley.context import ControllerContext
 from fallpulley.fleet.abandonment import AbandonReason, MachineAbandoner
 from fallpulley.fleet.demand import demand_groups
-from fallpulley.fleet.messages import DEFAULT_BOOT_SECONDS, MachineType
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.fleet.sizing import SizingPlan, SupplyUnit, size_fleet
 from fallpulley.fleet.smoothing import DemandSmoother
--- a/fallpulley/fleet/catalog.py
+++ b/fallpulley/fleet/catalog.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
+from fallpulley.cloud.messages import Catalog, MachineType
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.fleet.cloud import CloudClient, decode_ok
-from fallpulley.fleet.messages import Catalog, MachineType
 from fallpulley.records.keys import CATALOG_KEY
 from fallpulley.records.registry import Registry
 from fallpulley.state.transactions import Change, RequestPriority, Write, ignore_result
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fallpulley.fleet.messages import MachineType
+from fallpulley.cloud.messages import MachineType
 from fallpulley.fleet.sizing import DemandGroup, DemandKey
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open_job import OpenJob
--- a/fallpulley/fleet/machine_list.py
+++ b/fallpulley/fleet/machine_list.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
+from fallpulley.cloud.messages import LIST_PAGE_SIZE, ListedMachine, MachineList
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.fleet.cloud import CloudClient, decode_ok
-from fallpulley.fleet.messages import LIST_PAGE_SIZE, ListedMachine, MachineList
 
 # Of the calls that the cloud allows, what lists may use: with thousands of machines one has many
 # pages, and rentals and releases go before it. A page after the first leaves a part of the calls
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
+from fallpulley.cloud.messages import ListedMachine, MachineType, RentalRequest
+from fallpulley.cloud.offer import Offer
 from fallpulley.context import ControllerContext
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.adoption import Adoption
 from fallpulley.fleet.catalog import CatalogUpdater
 from fallpulley.fleet.cloud import CloudClient
 from fallpulley.fleet.machine_list import MachineListReader
-from fallpulley.fleet.messages import ListedMachine, MachineType, RentalRequest
-from fallpulley.fleet.offer import Offer
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.rentals import Rentals
 from fallpulley.fleet.shard_choice import ShardChoice
--- a/fallpulley/fleet/refusals.py
+++ b/fallpulley/fleet/refusals.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from fallpulley.fleet.offer import Offer
+from fallpulley.cloud.offer import Offer
 
 # A refused offer is asked for again after this share of the type's boot time, doubling up to the
 # other: what a wave of preemptions took is often to be had again within a boot time.
--- a/fallpulley/fleet/rentals.py
+++ b/fallpulley/fleet/rentals.py
@@ -9,18 +9,18 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
-from fallpulley.effects import Response
-from fallpulley.fleet.action_guard import ActionGuard
-from fallpulley.fleet.catalog import CatalogUpdater
-from fallpulley.fleet.cloud import CloudClient, decode_ok
-from fallpulley.fleet.messages import (
+from fallpulley.cloud.messages import (
     DEFAULT_BOOT_SECONDS,
     MAX_RENTED_MACHINES,
     RentalRequest,
     RentalResponse,
 )
-from fallpulley.fleet.offer import Offer
+from fallpulley.cloud.offer import Offer
+from fallpulley.context import ControllerContext
+from fallpulley.effects import Response
+from fallpulley.fleet.action_guard import ActionGuard
+from fallpulley.fleet.catalog import CatalogUpdater
+from fallpulley.fleet.cloud import CloudClient, decode_ok
 from fallpulley.fleet.refusals import RefusedOffers
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.shard_choice import ShardChoice
--- a/fallpulley/fleet/sizing.py
+++ b/fallpulley/fleet/sizing.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from fallpulley.fleet.messages import DEFAULT_BOOT_SECONDS, MAX_RENTED_MACHINES, MachineType
-from fallpulley.fleet.offer import Offer
+from fallpulley.cloud.messages import DEFAULT_BOOT_SECONDS, MAX_RENTED_MACHINES, MachineType
+from fallpulley.cloud.offer import Offer
 
 # Work of a high priority is to drain in this share of the time others may take.
 URGENT_DRAIN = 0.5
--- a/fallpulley/fleet/supply.py
+++ b/fallpulley/fleet/supply.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from fallpulley.fleet.messages import MachineType, RentalRequest
+from fallpulley.cloud.messages import MachineType, RentalRequest
 from fallpulley.fleet.sizing import SupplyUnit
 from fallpulley.records.shard_record import MachineEntry
 from fallpulley.shards.shard import Shard
--- a/fallpulley/jobs/completion.py
+++ b/fallpulley/jobs/completion.py
@@ -4,7 +4,6 @@
 
 import base64
 import binascii
-from dataclasses import dataclass, field
 from typing import NamedTuple
 
 # Of a value's room, the share a chunk of completion bits may take after base64.
@@ -88,20 +87,16 @@
         self.count = sum(byte.bit_count() for byte in self.bits)
 
 
-@dataclass(slots=True)
 class JobProgress:
     """Completed tasks of a job, and which of them the state service's progress values hold."""
 
-    task_count: int
-    completed: CompletionBitmap = field(init=False)
-    durable: CompletionBitmap = field(init=False)
-    unsaved_since: float | None = None  # since when a completion waits for its write
-    write_pending: bool = False  # a write or a read of a progress value is under way
-    revisions: dict[str, int] = field(default_factory=dict)  # chunk name -> mod revision
-
-    def __post_init__(self) -> None:
-        self.completed = CompletionBitmap(self.task_count)
-        self.durable = CompletionBitmap(self.task_count)
+    def __init__(self, task_count: int) -> None:
+        self.task_count = task_count
+        self.completed = CompletionBitmap(task_count)
+        self.durable = CompletionBitmap(task_count)
+        self.unsaved_since: float | None = None  # since when a completion waits for its write
+        self.write_pending = False  # a write or a read of a progress value is under way
+        self.revisions: dict[str, int] = {}  # chunk name -> its value's revision
 
     def record_completion(self, index: int, now: float) -> bool:
         """Count a task as completed; False if it already is, or the job has no such task."""
--- a/fallpulley/jobs/job_parts.py
+++ b/fallpulley/jobs/job_parts.py
@@ -4,7 +4,8 @@
 
 from collections import deque
 from collections.abc import Callable, Container
-from dataclasses import dataclass, field
+
+import msgspec
 
 from fallpulley.jobs.pipelines import DependencyNode
 
@@ -56,8 +57,7 @@
             self._is_queued[index] = 1
 
 
-@dataclass(slots=True)
-class GangState:
+class GangState(msgspec.Struct):
     """The common attempt of a gang's tasks.
 
     A gang runs together or not at all: once a task has to start again, the others are stopped,
@@ -68,8 +68,7 @@
     restarting: bool = False
 
 
-@dataclass(slots=True)
-class RunTimeObservations:
+class RunTimeObservations(msgspec.Struct):
     """Run times of the job's completed tasks."""
 
     tasks: int = 0
@@ -81,11 +80,10 @@
         self.total_s += run_s
 
 
-@dataclass(slots=True)
-class RetryState:
+class RetryState(msgspec.Struct):
     """Failures of the job's tasks, and when something of it may be tried again."""
 
-    failed_machines: set[str] = field(default_factory=set)
+    failed_machines: set[str] = msgspec.field(default_factory=set)
     failure_count: int = 0
     not_before: float = NEVER  # steady clock
 
@@ -100,8 +98,7 @@
             )
 
 
-@dataclass(slots=True)
-class JobUrgency:
+class JobUrgency(msgspec.Struct):
     """How long the rest of the job takes, and whether its pipeline's deadline is at risk."""
 
     remaining_s: float = float("inf")
@@ -121,8 +118,7 @@
         )
 
 
-@dataclass(slots=True)
-class ProcessorEstimate:
+class ProcessorEstimate(msgspec.Struct):
     """Processors that a task takes of the machine that suits it best."""
 
     per_task: float
--- a/fallpulley/jobs/validation.py
+++ b/fallpulley/jobs/validation.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from fallpulley.fleet.messages import MachineType
+from fallpulley.cloud.messages import MachineType
 from fallpulley.jobs.messages import JobKind, Submission
 from fallpulley.settings import Team
 
--- a/fallpulley/membership/format_agreement.py
+++ b/fallpulley/membership/format_agreement.py
@@ -8,7 +8,7 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.membership.membership_writes import MembershipWrites
-from fallpulley.records.formats import NEWEST_FORMAT
+from fallpulley.record_format import NEWEST_FORMAT
 from fallpulley.records.keys import FORMAT_KEY
 from fallpulley.records.messages import FormatMarker
 from fallpulley.records.registry import Registry
--- a/fallpulley/membership/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -4,7 +4,6 @@
 
 from typing import Protocol
 
-from fallpulley.balancing.shard_sizes import machines_per_shard
 from fallpulley.context import ControllerContext
 from fallpulley.membership.format_agreement import FormatAgreement
 from fallpulley.membership.leader_election import ElectionPolicy, LeaderElection
@@ -13,6 +12,7 @@
 from fallpulley.membership.shard_assignment import ShardAssignment
 from fallpulley.membership.shard_opening import OpeningPolicy, ShardOpening
 from fallpulley.records.registry import Registry
+from fallpulley.shard_sizes import machines_per_shard
 from fallpulley.state.watch_cache import WatchCache
 
 
--- a/fallpulley/membership/session.py
+++ b/fallpulley/membership/session.py
@@ -9,7 +9,7 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
-from fallpulley.records.formats import NEWEST_FORMAT
+from fallpulley.record_format import NEWEST_FORMAT
 from fallpulley.records.keys import SESSION_PREFIX
 from fallpulley.records.messages import LeaseGrant, Session
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/persistence/job_persistence.py
@@ -19,8 +19,8 @@
 )
 from fallpulley.jobs.messages import JobRecord, JobState, Progress
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.jobs.progress_loading import ProgressLoader
 from fallpulley.jobs.stored_progress import ProgressItem, progress_key
+from fallpulley.persistence.progress_loading import ProgressLoader
 from fallpulley.shards.shard import Shard
 from fallpulley.state.transactions import Change, RequestPriority, WriteResult
 
--- a/fallpulley/records/machine_shapes.py
+++ b/fallpulley/records/machine_shapes.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from fallpulley.fleet.messages import MachineType
+from fallpulley.cloud.messages import MachineType
 from fallpulley.records.shard_record import ShardRecord
 from fallpulley.records.versioned import Versioned
 
--- a/fallpulley/records/pending_changes.py
+++ b/fallpulley/records/pending_changes.py
@@ -2,19 +2,20 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+import msgspec
 
 from fallpulley.records.shard_record import Machines, ShardRecord
 
 
-@dataclass(slots=True)
-class PendingChanges:
+class PendingChanges(msgspec.Struct):
     """Requested changes of one shard's record; each stays until the record has it."""
 
-    adding: Machines = field(default_factory=dict)
-    removing: set[str] = field(default_factory=set)
-    moving: dict[str, str] = field(default_factory=dict)  # machine -> shard that gets it
-    occupancy: dict[str, bool] = field(default_factory=dict)  # machine -> flag to be written
+    adding: Machines = msgspec.field(default_factory=dict)
+    removing: set[str] = msgspec.field(default_factory=set)
+    moving: dict[str, str] = msgspec.field(default_factory=dict)  # machine -> shard that gets it
+    occupancy: dict[str, bool] = msgspec.field(
+        default_factory=dict
+    )  # machine -> flag to be written
     needs_new_revision: bool = False  # the record is to be written, changed or not
 
     @property
--- a/fallpulley/records/registry.py
+++ b/fallpulley/records/registry.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.fleet.messages import Catalog, MachineType
+from fallpulley.cloud.messages import Catalog, MachineType
 from fallpulley.records.decoding import decode_or_none
 from fallpulley.records.keys import (
     CATALOG_KEY,
--- a/fallpulley/records/release_records.py
+++ b/fallpulley/records/release_records.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.records.formats import RecordFormat
+from fallpulley.record_format import RecordFormat
 from fallpulley.records.keys import RELEASE_PREFIX
 from fallpulley.records.messages import ReleaseRecord
 from fallpulley.state.transactions import Change
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -4,13 +4,9 @@
 
 from collections import defaultdict
 from collections.abc import Mapping
-from dataclasses import dataclass
 
-from fallpulley.balancing.shard_sizes import (
-    COMPACT_ENTRY_BYTES,
-    FIRST_FORMAT_ENTRY_BYTES,
-    FULL_RECORD_SHARE,
-)
+import msgspec
+
 from fallpulley.context import ControllerContext
 from fallpulley.records.pending_changes import PendingChanges
 from fallpulley.records.registry import Registry
@@ -21,6 +17,11 @@
     without_previous_owners,
 )
 from fallpulley.records.versioned import Versioned
+from fallpulley.shard_sizes import (
+    COMPACT_ENTRY_BYTES,
+    FIRST_FORMAT_ENTRY_BYTES,
+    FULL_RECORD_SHARE,
+)
 from fallpulley.state.transactions import RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
@@ -30,8 +31,7 @@
 WRITE_TIMEOUT_SECONDS = 3.0
 
 
-@dataclass(slots=True)
-class _WriteState:
+class _WriteState(msgspec.Struct):
     """What is known of our writes of one shard's record."""
 
     is_unresolved: bool = False  # a write may still be applied
--- a/fallpulley/placement/pending_jobs.py
+++ b/fallpulley/scheduling/pending_jobs.py
@@ -9,15 +9,15 @@
 from fallpulley.context import ControllerContext
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.placement.age_bound import (
+from fallpulley.placement.queue import PendingJob, queue_order
+from fallpulley.placement.remaining_time import MachineShapes, count_shapes, remaining_time
+from fallpulley.placement.snapshot import MachineSnapshot
+from fallpulley.scheduling.age_bound import (
     first_tasks,
     promote_late_jobs,
     waited_past_age_bound,
 )
-from fallpulley.placement.queue import PendingJob, queue_order
-from fallpulley.placement.remaining_time import MachineShapes, count_shapes, remaining_time
-from fallpulley.placement.snapshot import MachineSnapshot
-from fallpulley.placement.team_limits import TeamLimits
+from fallpulley.scheduling.team_limits import TeamLimits
 from fallpulley.settings import Team
 from fallpulley.shards.shard import Shard
 
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/scheduling/planner.py
@@ -4,8 +4,8 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.jobs.service import JobService
-from fallpulley.placement.shard_plan import plan_shard
 from fallpulley.records.registry import Registry
+from fallpulley.scheduling.shard_plan import plan_shard
 from fallpulley.shards.agent import ShardAgent
 
 # The next plan waits so many times what the last one took: a twentieth of the time is for
--- a/fallpulley/placement/preemption.py
+++ b/fallpulley/scheduling/preemption.py
@@ -6,12 +6,12 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.placement.age_bound import first_tasks
 from fallpulley.placement.plan import Plan
 from fallpulley.placement.queue import PendingJob, is_eligible
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.placement.victims import Preemption, Victim, choose_victims
 from fallpulley.resources import Resources
+from fallpulley.scheduling.age_bound import first_tasks
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import TaskRun
 from fallpulley.workers.messages import TaskState
--- a/fallpulley/placement/shard_plan.py
+++ b/fallpulley/scheduling/shard_plan.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from fallpulley.context import ControllerContext
-from fallpulley.placement.pending_jobs import pending_jobs
 from fallpulley.placement.plan import Booking, Plan, make_plan
-from fallpulley.placement.preemption import preemptions_for
-from fallpulley.placement.snapshot_builder import machine_snapshots
 from fallpulley.placement.victims import Preemption
 from fallpulley.records.registry import Registry
+from fallpulley.scheduling.pending_jobs import pending_jobs
+from fallpulley.scheduling.preemption import preemptions_for
+from fallpulley.scheduling.snapshot_builder import machine_snapshots
 from fallpulley.settings import Team
 from fallpulley.shards.shard import Shard
 
--- a/fallpulley/placement/snapshot_builder.py
+++ b/fallpulley/scheduling/snapshot_builder.py
@@ -4,7 +4,7 @@
 
 import math
 
-from fallpulley.fleet.messages import MachineType
+from fallpulley.cloud.messages import MachineType
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.estimate import remaining_run_time
 from fallpulley.placement.profile import Occupancy
--- a/fallpulley/timing.py
+++ b/fallpulley/timing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 from fallpulley.settings import Settings
 
@@ -15,8 +15,7 @@
 HEARTBEAT_JITTER_SHARE = 0.25
 
 
-@dataclass(frozen=True, slots=True)
-class Timing:
+class Timing(msgspec.Struct, frozen=True):
     """How long heartbeats, leases and sessions last; all in seconds."""
 
     heartbeat_interval_s: float  # between two heartbeats of a worker
--- a/fallpulley/wire/client.py
+++ b/fallpulley/wire/client.py
@@ -10,12 +10,12 @@
 import time
 from collections import deque
 from collections.abc import Callable, Collection
-from dataclasses import dataclass
 from functools import lru_cache
 
 import anyio
 import anyio.abc
 import h11
+import msgspec
 
 from fallpulley.effects import RESPONSE_TOO_LONG
 from fallpulley.settings import split_address
@@ -35,8 +35,7 @@
 CompletionHandler = Callable[[int | None, bytes], None]
 
 
-@dataclass(frozen=True)
-class ClientLimits:
+class ClientLimits(msgspec.Struct, frozen=True):
     """Sizes and times that a client keeps to."""
 
     max_response_bytes: int = 64 * 1024 * 1024  # of a body, where no memory limit says less
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -6,13 +6,13 @@
 import logging
 import time
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum
 from functools import lru_cache
 from http import HTTPStatus
 
 import anyio
 import h11
+import msgspec
 
 from fallpulley.effects import Request
 from fallpulley.settings import split_address
@@ -34,8 +34,7 @@
 MIN_BACKLOG = 512
 
 
-@dataclass(frozen=True)
-class ServerLimits:
+class ServerLimits(msgspec.Struct, frozen=True):
     """Sizes and times that a server keeps to; times in seconds."""
 
     max_head_bytes: int = 16 * 1024
--- a/fallpulley/workers/machine_parts.py
+++ b/fallpulley/workers/machine_parts.py
@@ -7,7 +7,8 @@
 
 import math
 from collections import OrderedDict
-from dataclasses import dataclass, field
+
+import msgspec
 
 from fallpulley.workers.messages import Heartbeat, HeartbeatVersion, TaskStatus
 
@@ -24,8 +25,7 @@
 NEVER = float("-inf")
 
 
-@dataclass(slots=True)
-class HeartbeatState:
+class HeartbeatState(msgspec.Struct):
     """The newest heartbeats of the machine, and the responses to them."""
 
     # Version of the newest state known, also from responses to direct commands.
@@ -36,7 +36,9 @@
     ever_online: bool = False  # since we have owned the machine
     received_at: float = NEVER  # the last heartbeat
     responded_at: float = NEVER  # the last response, which may have renewed its lease
-    reported_tasks: list[TaskStatus] = field(default_factory=list)  # those of the newest state
+    reported_tasks: list[TaskStatus] = msgspec.field(
+        default_factory=list
+    )  # those of the newest state
     start_unacknowledged: bool = False  # a start was sent that no heartbeat has confirmed
 
     def is_newer(self, heartbeat: Heartbeat) -> bool:
@@ -59,8 +61,7 @@
         return False
 
 
-@dataclass(slots=True)
-class FencingState:
+class FencingState(msgspec.Struct):
     """The token that the machine is commanded with, and whether it has reported one of ours."""
 
     # At first the revision of the record that gave the machine to us. Any revision from there up to
@@ -85,15 +86,14 @@
         return True
 
 
-@dataclass(slots=True)
-class ImageCache:
+class ImageCache(msgspec.Struct):
     """Images that the machine has or fetches. It keeps the most recently used ones.
 
     This is reckoned from what was started there: workers do not report their images.
     """
 
-    cached: OrderedDict[str, float] = field(default_factory=OrderedDict)  # image -> GB
-    fetching: dict[str, float] = field(default_factory=dict)  # image -> when the fetch ends
+    cached: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)  # image -> GB
+    fetching: dict[str, float] = msgspec.field(default_factory=dict)  # image -> when the fetch ends
 
     def add(self, image: str, size_gb: float, cache_gb: float) -> None:
         """The image is used now; the least recently used ones make room for it."""
@@ -105,8 +105,7 @@
             total -= freed
 
 
-@dataclass(slots=True)
-class SpeedEstimate:
+class SpeedEstimate(msgspec.Struct):
     """How fast the machine is, from the run times of its tasks."""
 
     samples: int = 0
@@ -131,17 +130,15 @@
         self.log_sum = self.log_sum * keep + math.log(bounded)
 
 
-@dataclass(slots=True)
-class Reliability:
+class Reliability(msgspec.Struct):
     """Whether tasks succeed on the machine, and whether it lets them start."""
 
-    failed_jobs: set[str] = field(default_factory=set)  # with a task that failed here
+    failed_jobs: set[str] = msgspec.field(default_factory=set)  # with a task that failed here
     completed_tasks: int = 0
     refuses_tasks_until: float = NEVER  # it has refused a start: no bookings before then
 
 
-@dataclass(slots=True)
-class ScaleInState:
+class ScaleInState(msgspec.Struct):
     """Whether the machine is about to leave its shard, or the fleet, and why."""
 
     draining: bool = False  # takes no new tasks: it is to leave the shard when it is empty
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -5,8 +5,8 @@
 import pytest
 
 from fallpulley.balancing.balancer import ShardBalancer
-from fallpulley.placement.snapshot_builder import machine_snapshots
 from fallpulley.records.shard_record import MachineEntry
+from fallpulley.scheduling.snapshot_builder import machine_snapshots
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -8,21 +8,21 @@
 import msgspec
 import pytest
 
-from fallpulley.balancing.shard_sizes import (
-    change_share,
-    machines_per_shard,
-    shards_needed,
-    target_sizes,
-)
 from fallpulley.cli import main
+from fallpulley.cloud.messages import MachineType
+from fallpulley.cloud.offer import Offer
 from fallpulley.effects import HttpCall, Response
-from fallpulley.fleet.messages import MachineType
-from fallpulley.fleet.offer import Offer
 from fallpulley.fleet.sizing import DemandGroup, SupplyUnit, size_fleet
 from fallpulley.jobs.completion import chunk_tasks
 from fallpulley.jobs.messages import JobRecord, parse_submission
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.settings import SettingsError, load
+from fallpulley.shard_sizes import (
+    change_share,
+    machines_per_shard,
+    shards_needed,
+    target_sizes,
+)
 from fallpulley.state.client import StateClient
 from fallpulley.state.token_bucket import TokenBucket
 from fallpulley.state.transactions import Change, RequestPriority, Write
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fallpulley.fleet.offer import Offer
+from fallpulley.cloud.offer import Offer
 from fallpulley.fleet.refusals import RefusedOffers
 from fallpulley.fleet.sizing import DemandGroup
 from fallpulley.fleet.smoothing import DemandSmoother
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from fallpulley.balancing.shard_sizes import machines_per_shard
 from fallpulley.effects import RESPONSE_TOO_LONG, Response
 from fallpulley.mesh.task_counts import TaskCountRotation
 from fallpulley.records.release_records import releasable, release_changes
+from fallpulley.shard_sizes import machines_per_shard
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.fencing import Fencing
 from fallpulley.shards.lease_watch import LeaseWatch
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -50,8 +50,8 @@
 
 from fallpulley import settings
 from fallpulley.cli import load_settings as load_checked_settings
+from fallpulley.cloud import messages as fleet
 from fallpulley.duties import messages as duties
-from fallpulley.fleet import messages as fleet
 from fallpulley.jobs import messages as jobs
 from fallpulley.jobs import stored_progress
 from fallpulley.membership.session import SessionLease
