--- a/fallpulley/blocks/balance.py
+++ b/fallpulley/blocks/balance.py
@@ -52,7 +52,7 @@
         heard by them, and if so in time for their leases."""
         if self.core.now - held.heard_at < UNHEARD_LEASES * self.core.lease_s:
             return
-        if not self.session.live() or not any(m.up for m in held.machines.values()):
+        if not self.session.live() or not any(m.online for m in held.machines.values()):
             return
         peers = sorted(
             label
@@ -73,7 +73,7 @@
 
     def hand_over(self, held_blocks: dict[str, HeldBlock]) -> None:
         """Give an idle machine to the block furthest below its target, while ours is above."""
-        targets = self.provider.targets
+        targets = self.provider.target_sizes
         if not targets or not self.session.live():
             return
         sizes = {label: len(entry[0].machines) for label, entry in self.registry.blocks.items()}
@@ -93,9 +93,11 @@
         # these scattered over blocks, each with room that none of the others' jobs can have.
         idle.sort(key=lambda m: (m.entry.spot, m.idle_since or 0.0), reverse=True)
         for machine in idle[:number]:
-            log.info("machine handed over machine=%s from=%s to=%s", machine.host, held.label, to)
-            machine.leaving = True
-            held.marks_due[machine.host] = None
-            held.booked.pop(machine.host, None)
+            log.info(
+                "machine handed over machine=%s from=%s to=%s", machine.machine_id, held.label, to
+            )
+            machine.leaving_shard = True
+            held.marks_due[machine.machine_id] = None
+            held.booked.pop(machine.machine_id, None)
             held.dirty = True
-            self.writer.hand_over(held.label, machine.host, to)
+            self.writer.hand_over(held.label, machine.machine_id, to)
--- a/fallpulley/blocks/commands.py
+++ b/fallpulley/blocks/commands.py
@@ -11,8 +11,16 @@
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open import OpenJob
 from fallpulley.placement.plan import Booking
-from fallpulley.workers.machine import Machine, Run
-from fallpulley.workers.messages import ENDED, Direct, Order, PieceState, Report
+from fallpulley.workers.machine import Machine, TaskRun
+from fallpulley.workers.messages import (
+    DirectCommand,
+    ExitReason,
+    Heartbeat,
+    Operation,
+    TaskCommand,
+    TaskState,
+    TaskStatus,
+)
 
 if TYPE_CHECKING:
     from fallpulley.blocks.held import HeldBlock
@@ -32,7 +40,7 @@
 
     def start(
         self, machine: Machine, job: OpenJob, booking: Booking, estimate_s: float
-    ) -> Order | None:
+    ) -> TaskCommand | None:
         """The order that starts a booked task; None where no attempt may be made now."""
         if job.spec.kind != JobKind.GANG or not job.runs:
             self.held.touch = self.held.touch or self.held.attempts.wants_stamp
@@ -41,62 +49,67 @@
                 return None
             job.gang_attempt = attempt
         # The tasks of an ensemble find each other by their common attempt.
-        run = Run(
+        run = TaskRun(
             job.job_id,
-            booking.index,
+            booking.task_index,
             job.gang_attempt,
-            machine.host,
+            machine.machine_id,
             self.core.now,
             estimate_s,
             job.resources,
         )
-        job.runs[booking.index] = run
-        machine.runs[run.piece] = run
+        job.runs[booking.task_index] = run
+        machine.runs[run.task_id] = run
         self.held.decisions.task_started(run)
-        machine.ordered = True
-        machine.slot = None
-        log.debug("task ordered task=%s machine=%s", run.piece, machine.host)
+        machine.start_unacknowledged = True
+        machine.snapshot = None
+        log.debug("task ordered task=%s machine=%s", run.task_id, machine.machine_id)
         machine.idle_since = None
-        return Order("run", run.piece, run.attempt)
+        return TaskCommand(Operation.START, run.task_id, run.attempt)
 
-    def stop(self, run: Run, windup_s: float) -> None:
+    def stop(self, run: TaskRun, grace_period_s: float) -> None:
         """Stop with the next orders, and directly now if the machine can be reached."""
-        run.stopping = windup_s
+        run.stop_grace_s = grace_period_s
         self.held.decisions.task_stopped(run)
-        machine = self.held.machines.get(run.host)
+        machine = self.held.machines.get(run.machine_id)
         if machine is not None:
-            machine.slot = None
-        if machine is not None and run.seen and machine.entry.addr:
-            self.direct(machine, [Order("stop", run.piece, run.attempt, windup_s)])
+            machine.snapshot = None
+        if machine is not None and run.reported and machine.entry.address:
+            self.send_direct(
+                machine, [TaskCommand(Operation.STOP, run.task_id, run.attempt, grace_period_s)]
+            )
 
-    def preempt(self, host: str, pieces: list[str]) -> None:
+    def preempt(self, machine_id: str, task_ids: list[str]) -> None:
         """Stop tasks at once to make room: what they did since their last save is lost."""
-        machine = self.held.machines[host]
-        machine.slot = None
-        orders = []
-        for name in pieces:
+        machine = self.held.machines[machine_id]
+        machine.snapshot = None
+        commands = []
+        for name in task_ids:
             run = machine.runs[name]
-            run.stopping = 0.0
+            run.stop_grace_s = 0.0
             self.held.decisions.task_stopped(run)
-            orders.append(Order("stop", run.piece, run.attempt, 0.0))
-            log.info("task preempted task=%s machine=%s", run.piece, host)
-        if machine.entry.addr:
-            self.direct(machine, orders)
+            commands.append(TaskCommand(Operation.STOP, run.task_id, run.attempt, 0.0))
+            log.info("task preempted task=%s machine=%s", run.task_id, machine_id)
+        if machine.entry.address:
+            self.send_direct(machine, commands)
 
-    def prompt_report(self, machine: Machine) -> None:
+    def prompt_heartbeat(self, machine: Machine) -> None:
         """Make a machine with a booked task report now: a higher token counts as a change, but
         only once in half a lease."""
         now = self.core.now
-        if now < machine.prompted_at + PROMPT_LEASES * self.core.lease_s or not machine.entry.addr:
+        if (
+            now < machine.prompted_at + PROMPT_LEASES * self.core.lease_s
+            or not machine.entry.address
+        ):
             return
-        if machine.raise_token(self.held.token):
+        if machine.advance_token(self.held.token):
             machine.prompted_at = now
-            self.direct(machine, [])
+            self.send_direct(machine, [])
 
-    def direct(
+    def send_direct(
         self,
         machine: Machine,
-        orders: list[Order],
+        commands: list[TaskCommand],
         answered: Callable[[int | None], None] | None = None,
     ) -> None:
         """Command a machine at its address; `answered` is told the outcome first."""
@@ -104,47 +117,49 @@
         def done(status: int | None, body: bytes, sent_at: float) -> None:
             if answered is not None:
                 answered(status)
-            self._direct_answer(machine, status, body)
+            self._on_direct_response(machine, status, body)
 
-        message = msgspec.json.encode(Direct(machine.token, machine.shift or 1, orders))
-        self.core.call(machine.entry.addr, "POST", "/do", message, 1.5, done)
+        message = msgspec.json.encode(
+            DirectCommand(machine.fencing_token, machine.agent_epoch or 1, commands)
+        )
+        self.core.call(machine.entry.address, "POST", "/do", message, 1.5, done)
 
-    def _direct_answer(self, machine: Machine, status: int | None, body: bytes) -> None:
-        if status not in (200, 409) or self.held.machines.get(machine.host) is not machine:
+    def _on_direct_response(self, machine: Machine, status: int | None, body: bytes) -> None:
+        if status not in (200, 409) or self.held.machines.get(machine.machine_id) is not machine:
             return
         try:
-            report = msgspec.json.decode(body, type=Report)
+            heartbeat = msgspec.json.decode(body, type=Heartbeat)
         except msgspec.MsgspecError:
             return
-        if report.host != machine.host:
+        if heartbeat.machine_id != machine.machine_id:
             return
         if status == 200:
-            self.held.intake.take(machine, report, checkin=False)
-        elif not machine.fenced and report.shift > machine.shift:
-            machine.shift = report.shift
-            machine.fence_at = float("-inf")
+            self.held.intake.handle(machine, heartbeat, is_heartbeat=False)
+        elif not machine.fenced and heartbeat.agent_epoch > machine.agent_epoch:
+            machine.agent_epoch = heartbeat.agent_epoch
+            machine.next_fence_at = float("-inf")
 
-    def orders(self, machine: Machine) -> list[Order]:
+    def pending_commands(self, machine: Machine) -> list[TaskCommand]:
         """Clears and stops for a check-in's reply."""
-        orders: list[Order] = []
-        for name, piece in machine.pieces.items():
-            if piece.stage == ENDED:
+        commands: list[TaskCommand] = []
+        for name, status in machine.tasks.items():
+            if status.state == TaskState.EXITED:
                 named = parse_task_id(name)
                 job = self.held.jobs.get(named[0]) if named else None
-                if self._clearable(job, named, piece):
-                    orders.append(Order("clear", name, piece.attempt))
+                if self._may_forget(job, named, status):
+                    commands.append(TaskCommand(Operation.FORGET, name, status.attempt))
                 continue
             run = machine.runs.get(name)
-            if run is None or run.attempt != piece.attempt:
-                orders.append(Order("stop", name, piece.attempt, 0.0))
-            elif run.stopping is not None:
-                orders.append(Order("stop", name, piece.attempt, run.stopping))
-        return orders
-
-    def _clearable(
-        self, job: OpenJob | None, named: tuple[str, int] | None, piece: PieceState
+            if run is None or run.attempt != status.attempt:
+                commands.append(TaskCommand(Operation.STOP, name, status.attempt, 0.0))
+            elif run.stop_grace_s is not None:
+                commands.append(TaskCommand(Operation.STOP, name, status.attempt, run.stop_grace_s))
+        return commands
+
+    def _may_forget(
+        self, job: OpenJob | None, named: tuple[str, int] | None, status: TaskStatus
     ) -> bool:
         """The end is durable, or of no use; and we never repeat an attempt's `run`."""
-        if job is None or named is None or piece.cause != "done" or job.cancelled:
+        if job is None or named is None or status.exit_reason != ExitReason.DONE or job.cancelled:
             return True
         return named[1] < job.spec.task_count and job.is_durable(named[1])
--- a/fallpulley/blocks/fencing.py
+++ b/fallpulley/blocks/fencing.py
@@ -14,9 +14,9 @@
 # Of the machine's sockets, those that fences may take at once: a block of thousands of machines is
 # asked in bursts that leave sockets and time for everybody else.
 SOCKET_SHARE = 0.04
-FENCES_LEAST = 8
+MIN_IN_FLIGHT = 8
 # A machine is asked again after so many report intervals.
-RETRY_REPORTS = 0.5
+RETRY_INTERVALS = 0.5
 
 
 class Fencing:
@@ -26,51 +26,53 @@
         self.held = held
         core = held.core
         sockets = core.settings.facts.machine_limits.sockets
-        self.most = max(FENCES_LEAST, int(SOCKET_SHARE * sockets))
-        self.under_way = 0
-        self._turn: deque[str] | None = None  # made when first needed, in asking order
+        self.max_in_flight = max(MIN_IN_FLIGHT, int(SOCKET_SHARE * sockets))
+        self.in_flight = 0
+        self._queue: deque[str] | None = None  # made when first needed, in asking order
 
     def tick(self, addresses: dict[str, str]) -> None:
         """Ask those whose turn it is, as far as sockets allow."""
         held = self.held
-        if self._turn is None:
-            self._turn = deque(host for host in held.machines if host in held.unconfirmed)
-        for _ in range(len(self._turn)):
-            if self.under_way >= self.most:
+        if self._queue is None:
+            self._queue = deque(
+                machine_id for machine_id in held.machines if machine_id in held.unconfirmed
+            )
+        for _ in range(len(self._queue)):
+            if self.in_flight >= self.max_in_flight:
                 return
-            host = self._turn.popleft()
-            machine = held.machines.get(host)
-            if machine is None or host not in held.unconfirmed or machine.fenced:
+            machine_id = self._queue.popleft()
+            machine = held.machines.get(machine_id)
+            if machine is None or machine_id not in held.unconfirmed or machine.fenced:
                 continue  # it has shown our token, or has left
-            self._turn.append(host)
-            if not machine.entry.addr and host in addresses:
-                machine.entry = _with_address(machine.entry, addresses[host])
-            if self._may_ask(machine):
-                self._ask(machine)
+            self._queue.append(machine_id)
+            if not machine.entry.address and machine_id in addresses:
+                machine.entry = _with_address(machine.entry, addresses[machine_id])
+            if self._may_probe(machine):
+                self._probe(machine)
 
-    def _may_ask(self, machine: Machine) -> bool:
+    def _may_probe(self, machine: Machine) -> bool:
         now = self.held.core.now
         # One that was told our token with the answer to its own report shows it with the next.
-        told = now < machine.unfenced_at + self.held.core.report_s
+        told = now < machine.unfenced_heartbeat_at + self.held.core.report_s
         return (
-            bool(machine.entry.addr)
-            and not machine.fence_busy
-            and now >= machine.fence_at
+            bool(machine.entry.address)
+            and not machine.fence_in_flight
+            and now >= machine.next_fence_at
             and not told
         )
 
-    def _ask(self, machine: Machine) -> None:
-        machine.fence_busy = True
-        machine.fence_at = self.held.core.now + RETRY_REPORTS * self.held.core.report_s
-        self.under_way += 1
+    def _probe(self, machine: Machine) -> None:
+        machine.fence_in_flight = True
+        machine.next_fence_at = self.held.core.now + RETRY_INTERVALS * self.held.core.report_s
+        self.in_flight += 1
 
         def answered(status: int | None) -> None:
-            self.under_way -= 1
-            machine.fence_busy = False
-            machine.fence_fails += status not in (200, 409)
+            self.in_flight -= 1
+            machine.fence_in_flight = False
+            machine.fence_failures += status not in (200, 409)
 
-        self.held.commands.direct(machine, [], answered)
+        self.held.commands.send_direct(machine, [], answered)
 
 
-def _with_address(entry: MachineEntry, addr: str) -> MachineEntry:
-    return MachineEntry(addr, entry.build, entry.zone, entry.spot, entry.used)
+def _with_address(entry: MachineEntry, address: str) -> MachineEntry:
+    return MachineEntry(address, entry.machine_type, entry.zone, entry.spot, entry.occupied)
--- a/fallpulley/blocks/held.py
+++ b/fallpulley/blocks/held.py
@@ -14,7 +14,7 @@
 from fallpulley.blocks.commands import MachineCommands
 from fallpulley.blocks.decisions import IGNORED_DECISIONS, DecisionSink
 from fallpulley.blocks.fencing import Fencing
-from fallpulley.blocks.intake import ReportIntake
+from fallpulley.blocks.intake import HeartbeatIntake
 from fallpulley.blocks.messages import BlockRecord, MachineEntry
 from fallpulley.blocks.silence import LeaseWatch
 from fallpulley.core import DRIFT, Core
@@ -23,8 +23,8 @@
 from fallpulley.jobs.pipelines import DependencyNode
 from fallpulley.placement.estimate import Corrections, run_estimate
 from fallpulley.placement.plan import Booking
-from fallpulley.workers.machine import Machine, Run
-from fallpulley.workers.messages import ENDED
+from fallpulley.workers.machine import Machine, TaskRun
+from fallpulley.workers.messages import TaskState
 
 log = logging.getLogger(__name__)
 
@@ -46,10 +46,13 @@
         # cannot be reached is empty a lease later.
         self.empty_at = core.now + core.window_s + core.lease_over_s
         self.machines = {
-            host: Machine(host, entry, stamp, core.now) for host, entry in record.machines.items()
+            machine_id: Machine(machine_id, entry, stamp, core.now)
+            for machine_id, entry in record.machines.items()
         }
         # Machines that may hold tasks we do not know of.
-        self.unconfirmed = {host for host, entry in record.machines.items() if entry.used}
+        self.unconfirmed = {
+            machine_id for machine_id, entry in record.machines.items() if entry.occupied
+        }
         self.taken_over = not fresh
         self.loaded = fresh  # progress values have been read
         self.jobs: dict[str, OpenJob] = {}
@@ -59,7 +62,7 @@
         self.fencing = Fencing(self)
         self.leases = LeaseWatch()
         self.commands = MachineCommands(self)
-        self.intake = ReportIntake(self)
+        self.intake = HeartbeatIntake(self)
         self.heard_at = float("-inf")  # when any machine last checked in
         self.touch = False  # a newer stamp of the record is wanted, to raise tokens with
         # Machines whose marks in the record are to follow what they may hold now.
@@ -98,26 +101,26 @@
             self.jobs.pop(job.job_id, None)
         log.info("job ended job=%s withdrawn=%s runs=%d", job.job_id, withdrawn, len(job.runs))
 
-    def runs(self) -> Iterator[Run]:
+    def runs(self) -> Iterator[TaskRun]:
         for machine in self.machines.values():
             yield from machine.runs.values()
 
     def usage(self, team: str) -> tuple[float, float]:
         """What a team's tasks use, counting all that are not proved gone."""
-        cpus = cards = 0.0
+        cpus = gpus = 0.0
         for job in self.jobs.values():
             if job.spec.team == team:
                 cpus += job.resources[0] * len(job.runs)
-                cards += job.resources[1] * len(job.runs)
-        return cpus, cards
+                gpus += job.resources[1] * len(job.runs)
+        return cpus, gpus
 
     def has_unaccounted_tasks(self) -> bool:
         """A machine has tasks that no open job of ours accounts for: of a job that has ended,
         most likely, whose record no longer says what they take, or for whom."""
         return any(
-            piece.stage != ENDED and name not in machine.runs
+            status.state != TaskState.EXITED and name not in machine.runs
             for machine in self.machines.values()
-            for name, piece in machine.pieces.items()
+            for name, status in machine.tasks.items()
         )
 
     def estimate(self, job: OpenJob) -> float:
@@ -133,39 +136,43 @@
         self.record = record
         self.token = stamp
         self.touch = False
-        for host in sorted(self.machines.keys() - record.machines.keys()):
-            machine = self.machines.pop(host)
+        for machine_id in sorted(self.machines.keys() - record.machines.keys()):
+            machine = self.machines.pop(machine_id)
             self.lose_runs(machine, "left")
-            self.unconfirmed.discard(host)
-            self.unacknowledged.discard(host)
-            self.decisions.machine_released(host)
+            self.unconfirmed.discard(machine_id)
+            self.unacknowledged.discard(machine_id)
+            self.decisions.machine_released(machine_id)
         if len(self.machines) < len(record.machines):
             # In the record's order: a set's would differ from run to run.
-            for host in [host for host in record.machines if host not in self.machines]:
-                self._gain(host, record.machines[host])
-        for host in self.unacknowledged:
-            if self.machines[host].fenced:
-                self.machines[host].raise_token(stamp)
+            for machine_id in [
+                machine_id for machine_id in record.machines if machine_id not in self.machines
+            ]:
+                self._gain(machine_id, record.machines[machine_id])
+        for machine_id in self.unacknowledged:
+            if self.machines[machine_id].fenced:
+                self.machines[machine_id].advance_token(stamp)
         self.dirty = True
 
-    def _gain(self, host: str, entry: MachineEntry) -> None:
-        self.machines[host] = Machine(host, entry, self.token, self.core.now)
-        self.marks_due[host] = None
-        log.info("machine granted machine=%s block=%s term=%d", host, self.label, self.token)
-        self.decisions.machine_granted(host)
+    def _gain(self, machine_id: str, entry: MachineEntry) -> None:
+        self.machines[machine_id] = Machine(machine_id, entry, self.token, self.core.now)
+        self.marks_due[machine_id] = None
+        log.info("machine granted machine=%s block=%s term=%d", machine_id, self.label, self.token)
+        self.decisions.machine_granted(machine_id)
 
     def lose_runs(self, machine: Machine, why: str) -> None:
         """The machine's tasks are proved gone."""
         if machine.runs:
-            log.info("tasks gone machine=%s why=%s tasks=%d", machine.host, why, len(machine.runs))
+            log.info(
+                "tasks gone machine=%s why=%s tasks=%d", machine.machine_id, why, len(machine.runs)
+            )
         for run in list(machine.runs.values()):
             self.lose_run(run)
         machine.runs.clear()
-        machine.pieces = {}
-        machine.reported = []
-        machine.slot = None
+        machine.tasks = {}
+        machine.reported_tasks = []
+        machine.snapshot = None
         self.dirty = True
-        self.marks_due[machine.host] = None
+        self.marks_due[machine.machine_id] = None
 
     def stop_broken(self) -> None:
         """What is left of an ensemble that lost a task makes room for all to start anew."""
@@ -176,7 +183,7 @@
                 job.gang_restarting = False
                 self.dirty = True
             for run in job.runs.values():
-                if run.stopping is None:
+                if run.stop_grace_s is None:
                     self.commands.stop(run, job.spec.checkpoint_save_s)
 
     def expire_leases(self, fresh_at: float) -> None:
@@ -187,9 +194,9 @@
         at the records (`fresh_at`), which showed the block as ours.
         """
         until = min(self.core.now, fresh_at)
-        for host in self.leases.due(until):
-            machine = self.machines.get(host)
-            if machine is None or not (machine.up or machine.runs):
+        for machine_id in self.leases.due(until):
+            machine = self.machines.get(machine_id)
+            if machine is None or not (machine.online or machine.runs):
                 continue
             if until > self._lease_over_at(machine):
                 self._fall_silent(machine)
@@ -198,9 +205,9 @@
         if self.unconfirmed and until > self.empty_at:
             # Our own answers renew leases too, even of machines that have not reported since.
             empty = {
-                host
-                for host in self.unconfirmed
-                if until > self.machines[host].replied_at + self.core.lease_over_s
+                machine_id
+                for machine_id in self.unconfirmed
+                if until > self.machines[machine_id].last_response_at + self.core.lease_over_s
             }
             if empty:
                 log.info("machines proved empty block=%s n=%d", self.label, len(empty))
@@ -210,8 +217,8 @@
     def _lease_over_at(self, machine: Machine) -> float:
         # A check-in that is about to be answered counts as answered: its reply goes out
         # after this look, and renews the lease.
-        last = max(machine.replied_at, machine.heard_at)
-        if not machine.up:
+        last = max(machine.last_response_at, machine.last_heartbeat_at)
+        if not machine.online:
             # Its tasks are known from answers of `/do` alone, which renew no lease; a former
             # holder's answers may have.
             return max(last + self.core.lease_over_s, self.empty_at)
@@ -219,21 +226,21 @@
 
     def watch_lease(self, machine: Machine) -> None:
         """Look at the machine again once its lease may be over."""
-        if machine.up or machine.runs:
-            self.leases.watch(machine.host, self._lease_over_at(machine))
+        if machine.online or machine.runs:
+            self.leases.watch(machine.machine_id, self._lease_over_at(machine))
 
     def _fall_silent(self, machine: Machine) -> None:
-        log.info("machine silent machine=%s", machine.host)
-        machine.up = False
+        log.info("machine silent machine=%s", machine.machine_id)
+        machine.online = False
         machine.images.clear()
-        self.decisions.machine_reachable(machine.host, False)
+        self.decisions.machine_reachable(machine.machine_id, False)
         self.lose_runs(machine, "lease")
 
-    def confirm_empty(self, host: str) -> None:
+    def confirm_empty(self, machine_id: str) -> None:
         """The cloud has confirmed that the machine is gone."""
-        if host in self.unconfirmed:
-            log.info("machine proved gone machine=%s block=%s", host, self.label)
-            self.unconfirmed.discard(host)
+        if machine_id in self.unconfirmed:
+            log.info("machine proved gone machine=%s block=%s", machine_id, self.label)
+            self.unconfirmed.discard(machine_id)
             self.dirty = True
 
     def formers_silent(self) -> bool:
@@ -247,14 +254,14 @@
         for machine in self.machines.values():
             self.watch_lease(machine)
 
-    def lose_run(self, run: Run) -> None:
+    def lose_run(self, run: TaskRun) -> None:
         """An attempt is proved gone: its task is to be started again."""
-        job = self.jobs.get(run.job)
-        if job is None or job.runs.get(run.index) is not run:
+        job = self.jobs.get(run.job_id)
+        if job is None or job.runs.get(run.task_index) is not run:
             return
-        del job.runs[run.index]
+        del job.runs[run.task_index]
         self.decisions.task_left(run, "gone")
-        job.requeue(run.index)
+        job.requeue(run.task_index)
         self.dirty = True
         if job.cancelled and not job.runs:
             self.jobs.pop(job.job_id, None)
--- a/fallpulley/blocks/intake.py
+++ b/fallpulley/blocks/intake.py
@@ -7,8 +7,8 @@
 
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open import OpenJob
-from fallpulley.workers.machine import Machine, Outcome, Run, absorb
-from fallpulley.workers.messages import RUNNING, PieceState, Report
+from fallpulley.workers.machine import HeartbeatChanges, Machine, TaskRun, apply_heartbeat
+from fallpulley.workers.messages import START_REFUSALS, ExitReason, Heartbeat, TaskState, TaskStatus
 
 if TYPE_CHECKING:
     from fallpulley.blocks.held import HeldBlock
@@ -16,106 +16,106 @@
 log = logging.getLogger(__name__)
 
 
-class ReportIntake:
+class HeartbeatIntake:
     """Takes reports in, from check-ins and from answers to direct commands."""
 
     def __init__(self, held: HeldBlock) -> None:
         self.held = held
         self.core = held.core
 
-    def take(self, machine: Machine, report: Report, checkin: bool) -> bool:
+    def handle(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
         """Take in a report; False when it is not newer than what we know."""
-        newer = self._absorb(machine, report, checkin)
+        newer = self._apply(machine, heartbeat, is_heartbeat)
         if newer:
             self.held.watch_lease(machine)
         return newer
 
-    def _absorb(self, machine: Machine, report: Report, checkin: bool) -> bool:
+    def _apply(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
         now = self.core.now
-        if not machine.newer(report):
+        if not machine.is_newer(heartbeat):
             return False
-        if machine.same(report):
-            machine.tick = report.tick
-            self._note_up(machine, checkin)
+        if machine.is_unchanged(heartbeat):
+            machine.sequence = heartbeat.sequence
+            self._mark_online(machine, is_heartbeat)
             return True
-        machine.slot = None
+        machine.snapshot = None
         was_usable = machine.usable
-        self._hears(machine, report)
+        self._check_token(machine, heartbeat)
         if not machine.fenced:
             # Perhaps a late copy from before we had it: this renews nothing and proves nothing.
-            machine.shift, machine.tick = report.shift, report.tick
-            machine.unfenced_at = now
-            self.held.marks_due[machine.host] = None
+            machine.agent_epoch, machine.sequence = heartbeat.agent_epoch, heartbeat.sequence
+            machine.unfenced_heartbeat_at = now
+            self.held.marks_due[machine.machine_id] = None
             return True
-        outcome = absorb(machine, report, now, checkin)
-        if checkin:
-            self._note_up(machine, checkin)
-        if outcome.missed and machine.unacknowledged_since is None:
-            self._doubt_hearing(machine)
-        self._act(machine, outcome)
-        if self.held.unconfirmed and machine.host in self.held.unconfirmed:
-            self.held.unconfirmed.discard(machine.host)
+        outcome = apply_heartbeat(machine, heartbeat, now, is_heartbeat)
+        if is_heartbeat:
+            self._mark_online(machine, is_heartbeat)
+        if outcome.start_missed and machine.unacknowledged_since is None:
+            self._mark_unacknowledged(machine)
+        self._apply_outcome(machine, outcome)
+        if self.held.unconfirmed and machine.machine_id in self.held.unconfirmed:
+            self.held.unconfirmed.discard(machine.machine_id)
             if not self.held.unconfirmed:
                 log.info("block confirmed block=%s term=%d", self.held.label, self.held.token)
             self.held.dirty = True
         if machine.usable != was_usable:
             self.held.dirty = True
-            self.held.marks_due[machine.host] = None
-        if machine.recall_at is not None:
-            self._recall(machine)
+            self.held.marks_due[machine.machine_id] = None
+        if machine.preempted_at is not None:
+            self._drain_for_preemption(machine)
         return True
 
-    def _hears(self, machine: Machine, report: Report) -> None:
+    def _check_token(self, machine: Machine, heartbeat: Heartbeat) -> None:
         """Its highest token shows whether it has heard us since we last raised it."""
-        if report.baton >= machine.token:
+        if heartbeat.fencing_token >= machine.fencing_token:
             if not machine.fenced:
                 machine.fenced = True
                 self.held.dirty = True
             if machine.unacknowledged_since is not None:
                 machine.unacknowledged_since = None
-                self.held.unacknowledged.discard(machine.host)
+                self.held.unacknowledged.discard(machine.machine_id)
                 self.held.dirty = True
         elif not machine.fenced and machine.unacknowledged_since is None:
             machine.unacknowledged_since = self.core.now
-            self.held.unacknowledged.add(machine.host)
+            self.held.unacknowledged.add(machine.machine_id)
 
-    def _doubt_hearing(self, machine: Machine) -> None:
+    def _mark_unacknowledged(self, machine: Machine) -> None:
         """Its reports come, but an order of ours did not take. Reports alone prove neither that
         it hears us nor that its lease goes on: it gets no task until it reports with a token
         that it can have from us alone."""
-        log.info("machine hears nothing machine=%s", machine.host)
+        log.info("machine hears nothing machine=%s", machine.machine_id)
         machine.unacknowledged_since = self.core.now
-        self.held.unacknowledged.add(machine.host)
+        self.held.unacknowledged.add(machine.machine_id)
         self.held.dirty = True
-        if not machine.raise_token(self.held.token):
+        if not machine.advance_token(self.held.token):
             self.held.touch = True
 
-    def _note_up(self, machine: Machine, checkin: bool) -> None:
-        if checkin:
-            if not machine.up:
+    def _mark_online(self, machine: Machine, is_heartbeat: bool) -> None:
+        if is_heartbeat:
+            if not machine.online:
                 self.held.dirty = True
-                self.held.marks_due[machine.host] = None
-                log.info("machine up machine=%s shift=%d", machine.host, machine.shift)
-                self.held.decisions.machine_reachable(machine.host, True)
-            machine.up = machine.ever_up = True
-            machine.heard_at = self.held.heard_at = self.core.now
+                self.held.marks_due[machine.machine_id] = None
+                log.info("machine up machine=%s shift=%d", machine.machine_id, machine.agent_epoch)
+                self.held.decisions.machine_reachable(machine.machine_id, True)
+            machine.online = machine.ever_online = True
+            machine.last_heartbeat_at = self.held.heard_at = self.core.now
 
-    def _act(self, machine: Machine, outcome: Outcome) -> None:
+    def _apply_outcome(self, machine: Machine, outcome: HeartbeatChanges) -> None:
         now = self.core.now
         for run in outcome.vanished:
             self.held.lose_run(run)
-            if run.seen:
-                log.info("task vanished task=%s machine=%s", run.piece, run.host)
-        for ended, piece in outcome.ended:
-            self._ended(machine, ended, piece)
-        for run in outcome.began:
-            job = self.held.jobs.get(run.job)
+            if run.reported:
+                log.info("task vanished task=%s machine=%s", run.task_id, run.machine_id)
+        for ended, status in outcome.exited:
+            self._on_exited(machine, ended, status)
+        for run in outcome.started:
+            job = self.held.jobs.get(run.job_id)
             if job is not None:
                 machine.fetching.pop(job.spec.image, None)
-            log.debug("task began task=%s machine=%s", run.piece, run.host)
-        for piece in outcome.has_unaccounted_tasks:
-            self._on_unaccounted(machine, piece)
-        if outcome.vanished or outcome.ended:
+            log.debug("task began task=%s machine=%s", run.task_id, run.machine_id)
+        for status in outcome.unknown_tasks:
+            self._on_unknown_task(machine, status)
+        if outcome.vanished or outcome.exited:
             self.held.dirty = True
         if machine.empty:
             if machine.idle_since is None:
@@ -123,38 +123,41 @@
         else:
             machine.idle_since = None
 
-    def _ended(self, machine: Machine, run: Run | None, piece: PieceState) -> None:
-        named = parse_task_id(piece.piece)
+    def _on_exited(self, machine: Machine, run: TaskRun | None, status: TaskStatus) -> None:
+        named = parse_task_id(status.task_id)
         job = self.held.jobs.get(named[0]) if named else None
         if named is None or job is None:
             return
         if run is not None:
-            job.runs.pop(run.index, None)
-            self.held.decisions.task_left(run, piece.cause or "")
-        if piece.cause == "done":
+            job.runs.pop(run.task_index, None)
+            self.held.decisions.task_left(run, status.exit_reason or "")
+        if status.exit_reason == ExitReason.DONE:
             if job.mark_completed(named[1], self.core.now):
-                log.debug("task done task=%s machine=%s", piece.piece, machine.host)
-                self._learn(machine, job, run)
+                log.debug("task done task=%s machine=%s", status.task_id, machine.machine_id)
+                self._record_run_time(machine, job, run)
         elif run is not None:
             log.info(
-                "task ended task=%s machine=%s cause=%s", piece.piece, machine.host, piece.cause
+                "task ended task=%s machine=%s cause=%s",
+                status.task_id,
+                machine.machine_id,
+                status.exit_reason,
             )
-            job.requeue(run.index)
-            if piece.cause == "error":
-                job.record_failure(machine.host, self.core.now, self.core.lease_s)
+            job.requeue(run.task_index)
+            if status.exit_reason == ExitReason.ERROR:
+                job.record_failure(machine.machine_id, self.core.now, self.core.lease_s)
                 machine.failed_jobs.add(job.job_id)
-            elif piece.cause in ("full", "in_use", "unknown"):
-                machine.refuse_until = self.core.now + self.core.report_s
+            elif status.exit_reason in START_REFUSALS:
+                machine.refuses_tasks_until = self.core.now + self.core.report_s
         if job.cancelled and not job.runs:
             self.held.jobs.pop(job.job_id, None)
 
-    def _learn(self, machine: Machine, job: OpenJob, run: Run | None) -> None:
-        machine.completed += 1
-        if run is None or run.running_at is None or job.spec.kind == JobKind.SERVICE:
+    def _record_run_time(self, machine: Machine, job: OpenJob, run: TaskRun | None) -> None:
+        machine.completed_tasks += 1
+        if run is None or run.started_at is None or job.spec.kind == JobKind.SERVICE:
             return
-        took = max(0.1, self.core.now - run.running_at)
+        took = max(0.1, self.core.now - run.started_at)
         expected = self.held.estimate(job)
-        machine.learn_speed(took / expected)
+        machine.record_run_time_ratio(took / expected)
         job.observed_tasks += 1
         job.observed_run_s += took
         job_class = job.spec.job_class
@@ -162,9 +165,9 @@
         self.held.decisions.run_time_learned(job.job_id, job.observed_tasks, job.observed_run_s)
         self.held.decisions.class_learned(job_class, self.held.corrections.factor(job_class))
 
-    def _on_unaccounted(self, machine: Machine, piece: PieceState) -> None:
+    def _on_unknown_task(self, machine: Machine, status: TaskStatus) -> None:
         """A task on the machine that we did not start in this life: keep it or stop it."""
-        named = parse_task_id(piece.piece)
+        named = parse_task_id(status.task_id)
         job = self.held.jobs.get(named[0]) if named else None
         if (
             named is None
@@ -173,36 +176,36 @@
             or named[1] >= job.spec.task_count
             or job.is_completed(named[1])
             or named[1] in job.runs
-            or piece.piece in machine.runs
+            or status.task_id in machine.runs
         ):
             return  # stopped with the next orders
-        run = Run(
+        run = TaskRun(
             job.job_id,
             named[1],
-            piece.attempt,
-            machine.host,
+            status.attempt,
+            machine.machine_id,
             self.core.now,
             self.held.estimate(job),
             job.resources,
-            seen=True,
-            stage=piece.stage,
-            running_at=self.core.now if piece.stage == RUNNING else None,
+            reported=True,
+            state=status.state,
+            started_at=self.core.now if status.state == TaskState.RUNNING else None,
         )
-        job.runs[run.index] = run
-        machine.runs[run.piece] = run
+        job.runs[run.task_index] = run
+        machine.runs[run.task_id] = run
         self.held.decisions.task_started(run)
         self.held.dirty = True
-        log.info("task adopted task=%s machine=%s", run.piece, machine.host)
+        log.info("task adopted task=%s machine=%s", run.task_id, machine.machine_id)
 
-    def _recall(self, machine: Machine) -> None:
+    def _drain_for_preemption(self, machine: Machine) -> None:
         """The cloud takes the machine: tasks that cannot finish leave it while they can save."""
-        left = (machine.recall_at or 0.0) - self.core.now
+        left = (machine.preempted_at or 0.0) - self.core.now
         for run in machine.runs.values():
-            job = self.held.jobs.get(run.job)
-            if job is None or run.stopping is not None:
+            job = self.held.jobs.get(run.job_id)
+            if job is None or run.stop_grace_s is not None:
                 continue
-            spent = self.core.now - (run.running_at or self.core.now)
-            if run.running_at is not None and run.estimate_s - spent < left - 1.0:
+            spent = self.core.now - (run.started_at or self.core.now)
+            if run.started_at is not None and run.estimated_run_s - spent < left - 1.0:
                 continue
             saves = job.spec.checkpoint_interval_s > 0
             if saves and left > job.spec.checkpoint_save_s + 2 * self.core.report_s:
--- a/fallpulley/blocks/layout.py
+++ b/fallpulley/blocks/layout.py
@@ -72,12 +72,14 @@
     label: str, record: BlockRecord, stamp: int, wishes: Wishes, limits: RecordLimits
 ) -> Edit:
     gone = set(wishes.remove)
-    machines = {host: entry for host, entry in record.machines.items() if host not in gone}
+    machines = {
+        machine_id: entry for machine_id, entry in record.machines.items() if machine_id not in gone
+    }
     added = list(wishes.add)
     if limits.parts:
         # One more than a whole record is to hold, and the next change lays it out in parts.
         del added[max(0, WHOLE_MOST + 1 - len(machines)) :]
-    machines.update((host, wishes.add[host]) for host in added)
+    machines.update((machine_id, wishes.add[machine_id]) for machine_id in added)
     update_entries(machines, wishes)
     value = _whole(record, machines, limits)
     if len(value) > limits.value_bytes and limits.parts and record.machines:
@@ -85,8 +87,8 @@
     while len(value) > limits.value_bytes and added:
         # A record that no value holds could never be written again: what came last is left
         # to the next list, which grants it to a block with room.
-        for host in added[len(added) // 2 :]:
-            machines.pop(host, None)
+        for machine_id in added[len(added) // 2 :]:
+            machines.pop(machine_id, None)
         del added[len(added) // 2 :]
         value = _whole(record, machines, limits)
     return Edit([Change(BLOCKS + label, value)], added, list(wishes.remove))
@@ -103,32 +105,39 @@
 
 def update_entries(machines: Machines, wishes: Wishes) -> None:
     """Fill in addresses and marks."""
-    for host, entry in machines.items():
-        used = wishes.marks.get(host, entry.used)
-        addr = entry.addr or wishes.addresses.get(host, "")
-        if used != entry.used or addr != entry.addr:
-            machines[host] = MachineEntry(addr, entry.build, entry.zone, entry.spot, used)
+    for machine_id, entry in machines.items():
+        used = wishes.marks.get(machine_id, entry.occupied)
+        address = entry.address or wishes.addresses.get(machine_id, "")
+        if used != entry.occupied or address != entry.address:
+            machines[machine_id] = MachineEntry(
+                address, entry.machine_type, entry.zone, entry.spot, used
+            )
 
 
 def _split(label: str, record: BlockRecord, stamp: int, limits: RecordLimits) -> Edit:
     """The record's machines in parts, neighbours together; wishes wait for the next change."""
-    hosts = sorted(record.machines)
+    machine_ids = sorted(record.machines)
     most = max(1, limits.changes - 1)
-    count = min(most, max(2, -(-len(hosts) // PART_MOST)))
-    parts = _parts_of(record, hosts, count, stamp)
+    count = min(most, max(2, -(-len(machine_ids) // PART_MOST)))
+    parts = _parts_of(record, machine_ids, count, stamp)
     while count < most and any(_too_large(part, limits) for part in parts.values()):
         count += 1
-        parts = _parts_of(record, hosts, count, stamp)
+        parts = _parts_of(record, machine_ids, count, stamp)
     changes = [_head(label, record, parts)]
     changes += [_part(label, number, part, limits) for number, part in parts.items()]
     return Edit(changes, [], [], True)
 
 
-def _parts_of(record: BlockRecord, hosts: list[str], count: int, stamp: int) -> dict[int, Part]:
-    size = -(-len(hosts) // count)
+def _parts_of(
+    record: BlockRecord, machine_ids: list[str], count: int, stamp: int
+) -> dict[int, Part]:
+    size = -(-len(machine_ids) // count)
     return {
-        number: Part(stamp, {host: record.machines[host] for host in hosts[at : at + size]})
-        for number, at in enumerate(range(0, len(hosts), size))
+        number: Part(
+            stamp,
+            {machine_id: record.machines[machine_id] for machine_id in machine_ids[at : at + size]},
+        )
+        for number, at in enumerate(range(0, len(machine_ids), size))
     }
 
 
@@ -169,27 +178,27 @@
         """Removals first: they make room in the parts that they touch."""
         if self._mergeable():
             return self._merge()
-        for host in self.wishes.remove:
-            machines = self._touch(self._part_of(host))
+        for machine_id in self.wishes.remove:
+            machines = self._touch(self._part_of(machine_id))
             if machines is not None:
-                machines.pop(host, None)
-                self.removed.append(host)
-        for host in self.wishes.marks:
-            self._touch(self._part_of(host))
-        for host in sorted(self.wishes.add):
+                machines.pop(machine_id, None)
+                self.removed.append(machine_id)
+        for machine_id in self.wishes.marks:
+            self._touch(self._part_of(machine_id))
+        for machine_id in sorted(self.wishes.add):
             machines = self._touch(self._part_with_room())
             if machines is None:
                 break
-            machines[host] = self.wishes.add[host]
-            self.added.append(host)
+            machines[machine_id] = self.wishes.add[machine_id]
+            self.added.append(machine_id)
         for machines in self.touched.values():
             update_entries(machines, self.wishes)
         self._split_large()
         return self._encode()
 
-    def _part_of(self, host: str) -> int | None:
+    def _part_of(self, machine_id: str) -> int | None:
         for number, part in self.record.parts.items():
-            if host in part.machines:
+            if machine_id in part.machines:
                 return number
         return None
 
@@ -233,7 +242,7 @@
             if len(self.touched) + 1 < self.limits.changes:
                 upper = sorted(machines)[len(machines) // 2 :]
                 new = self._new_number()
-                self.touched[new] = {host: machines.pop(host) for host in upper}
+                self.touched[new] = {machine_id: machines.pop(machine_id) for machine_id in upper}
                 waiting += [number, new]
             elif self._drop_added(machines):
                 waiting.append(number)
@@ -241,11 +250,11 @@
                 self._leave(number)
 
     def _drop_added(self, machines: Machines) -> bool:
-        added = [host for host in self.added if host in machines]
+        added = [machine_id for machine_id in self.added if machine_id in machines]
         dropped = set(added[len(added) // 2 :])
-        for host in dropped:
-            del machines[host]
-        self.added = [host for host in self.added if host not in dropped]
+        for machine_id in dropped:
+            del machines[machine_id]
+        self.added = [machine_id for machine_id in self.added if machine_id not in dropped]
         return bool(dropped)
 
     def _leave(self, number: int) -> None:
@@ -253,7 +262,9 @@
         del self.touched[number]
         part = self.record.parts.get(number)
         if part is not None:
-            self.removed = [host for host in self.removed if host not in part.machines]
+            self.removed = [
+                machine_id for machine_id in self.removed if machine_id not in part.machines
+            ]
 
     def _encode(self) -> Edit:
         parts = dict(self.record.parts)
--- a/fallpulley/blocks/marks.py
+++ b/fallpulley/blocks/marks.py
@@ -22,44 +22,44 @@
     def compare(self, held: HeldBlock) -> None:
         """Look at all machines, of a large block at the next ones in turn: what they may hold
         changes by time alone, too."""
-        hosts = list(held.machines)
-        if len(hosts) > COMPARE_MOST:
-            at = self._next.get(held.label, 0) % len(hosts)
+        machine_ids = list(held.machines)
+        if len(machine_ids) > COMPARE_MOST:
+            at = self._next.get(held.label, 0) % len(machine_ids)
             self._next[held.label] = at + COMPARE_MOST
-            hosts = (hosts + hosts)[at : at + COMPARE_MOST]
-        held.marks_due.update(dict.fromkeys(hosts))
+            machine_ids = (machine_ids + machine_ids)[at : at + COMPARE_MOST]
+        held.marks_due.update(dict.fromkeys(machine_ids))
         self.follow(held)
 
     def follow(self, held: HeldBlock) -> None:
         """Ask for the marks that differ among the machines due, and see which of those asked for
         are in the record. One whose mark or move is on its way is looked at again."""
         due, held.marks_due = held.marks_due, {}
-        for host in due:
-            machine = held.machines.get(host)
-            entry = held.record.machines.get(host)
+        for machine_id in due:
+            machine = held.machines.get(machine_id)
+            entry = held.record.machines.get(machine_id)
             if machine is None or entry is None:
                 continue
-            marked = self.writer.marks.get(held.label, {}).get(host, entry.used)
+            marked = self.writer.marks.get(held.label, {}).get(machine_id, entry.occupied)
             self._follow(held, machine, marked)
-            if machine.leaving and not self.writer.leaving(held.label, host):
-                machine.leaving = False  # its move was called off
+            if machine.leaving_shard and not self.writer.leaving(held.label, machine_id):
+                machine.leaving_shard = False  # its move was called off
                 held.dirty = True
-            used = self.writer.used(held.label, host)
-            if used != machine.used:
-                machine.used = used
+            used = self.writer.used(held.label, machine_id)
+            if used != machine.marked_occupied:
+                machine.marked_occupied = used
                 held.dirty = True
-            if machine.leaving or host in self.writer.marks.get(held.label, ()):
-                held.marks_due[host] = None
+            if machine.leaving_shard or machine_id in self.writer.marks.get(held.label, ()):
+                held.marks_due[machine_id] = None
 
     def _follow(self, held: HeldBlock, machine: Machine, marked: bool) -> None:
-        unfenced = self.core.now < machine.unfenced_at + self.core.lease_s
-        unconfirmed = machine.host in held.unconfirmed
-        may_hold = machine.up or bool(machine.runs) or unconfirmed or unfenced
+        unfenced = self.core.now < machine.unfenced_heartbeat_at + self.core.lease_s
+        unconfirmed = machine.machine_id in held.unconfirmed
+        may_hold = machine.online or bool(machine.runs) or unconfirmed or unfenced
         if (machine.usable or unfenced) and not marked:
-            self._mark(held, machine.host, True)
-        elif not may_hold and marked and machine.got_at < self.core.now:
-            self._mark(held, machine.host, False)
+            self._mark(held, machine.machine_id, True)
+        elif not may_hold and marked and machine.granted_at < self.core.now:
+            self._mark(held, machine.machine_id, False)
 
-    def _mark(self, held: HeldBlock, host: str, used: bool) -> None:
-        self.writer.mark(held.label, host, used)
-        held.decisions.machine_marked(host, used)
+    def _mark(self, held: HeldBlock, machine_id: str, used: bool) -> None:
+        self.writer.mark(held.label, machine_id, used)
+        held.decisions.machine_marked(machine_id, used)
--- a/fallpulley/blocks/messages.py
+++ b/fallpulley/blocks/messages.py
@@ -142,10 +142,10 @@
     return Part(wire.version, unpack_runs(wire.runs))
 
 
-class Retired(msgspec.Struct, omit_defaults=True):
+class Retired(msgspec.Struct, omit_defaults=True, rename={"machine_ids": "hosts"}):
     """`live/retire/<host>`: machines to be released, that one alone in the older format."""
 
-    hosts: list[str] = []
+    machine_ids: list[str] = []
 
 
 class TeamHome(msgspec.Struct):
--- a/fallpulley/blocks/packing.py
+++ b/fallpulley/blocks/packing.py
@@ -16,13 +16,13 @@
 class MachineEntry(msgspec.Struct, frozen=True):
     """A machine of a block, and what is known of it for ever."""
 
-    addr: str
-    build: str
+    address: str
+    machine_type: str
     zone: str
     spot: bool
     # It may hold tasks. Written before the first `run` and taken back once the machine is
     # proved empty, so that a successor need not wait for machines that cannot hold any.
-    used: bool = False
+    occupied: bool = False
 
 
 Machines = dict[str, MachineEntry]
@@ -31,8 +31,8 @@
 def without_addresses(machines: Machines) -> Machines:
     """The same machines; reports and the cloud's list tell their addresses."""
     return {
-        host: MachineEntry("", entry.build, entry.zone, entry.spot, entry.used)
-        for host, entry in machines.items()
+        machine_id: MachineEntry("", entry.machine_type, entry.zone, entry.spot, entry.occupied)
+        for machine_id, entry in machines.items()
     }
 
 
@@ -40,11 +40,11 @@
 
 
 class _Group(msgspec.Struct, array_like=True):
-    build: str
+    machine_type: str
     zone: str
     spot: bool
-    used: bool
-    hosts: dict[str, str]  # host -> address
+    occupied: bool
+    addresses: dict[str, str]  # host -> address
 
 
 def pack_groups(machines: Machines) -> bytes:
@@ -52,10 +52,10 @@
     of neighbours are nearly the same, so a thousand machines take some 7 KiB of a value. As
     plain text 16 KiB held 368, and a larger fleet had to be split into blocks."""
     groups: dict[tuple[str, str, bool, bool], dict[str, str]] = {}
-    for host, entry in sorted(machines.items()):
-        kind = (entry.build, entry.zone, entry.spot, entry.used)
-        groups.setdefault(kind, {})[host] = entry.addr
-    wire = [_Group(*kind, hosts) for kind, hosts in groups.items()]
+    for machine_id, entry in sorted(machines.items()):
+        group = (entry.machine_type, entry.zone, entry.spot, entry.occupied)
+        groups.setdefault(group, {})[machine_id] = entry.address
+    wire = [_Group(*group, machine_ids) for group, machine_ids in groups.items()]
     return zlib.compress(msgspec.json.encode(wire))
 
 
@@ -63,9 +63,11 @@
     """Raises `msgspec.MsgspecError` when broken."""
     groups = msgspec.json.decode(_inflate(packed), type=list[_Group])
     return {
-        host: MachineEntry(addr, group.build, group.zone, group.spot, group.used)
+        machine_id: MachineEntry(
+            address, group.machine_type, group.zone, group.spot, group.occupied
+        )
         for group in groups
-        for host, addr in group.hosts.items()
+        for machine_id, address in group.addresses.items()
     }
 
 
@@ -90,12 +92,12 @@
 
 
 class _Kind(msgspec.Struct, array_like=True):
-    build: str
+    machine_type: str
     zone: str
     spot: bool
-    used: bool
+    occupied: bool
     runs: list[_Run]
-    rest: dict[str, str]  # host -> address, where no run describes it
+    others: dict[str, str]  # host -> address, where no run describes it
 
 
 _NUMBERED = re.compile(r"(.*?)([0-9]{1,15})", re.DOTALL)
@@ -112,22 +114,22 @@
 
 # A part of a record is encoded by its holder alone, a few parts again and again.
 @lru_cache(maxsize=4096)
-def _place(host: str, addr: str) -> tuple[str, int, int, int, int] | None:
+def _place(machine_id: str, address: str) -> tuple[str, int, int, int, int] | None:
     """Prefix, width, offset, port and number of a machine; None where no run can describe it."""
-    name = _NUMBERED.fullmatch(host)
+    name = _NUMBERED.fullmatch(machine_id)
     if name is None:
         return None
     number, width = int(name[2]), len(name[2])
-    if not addr:
+    if not address:
         return name[1], width, 0, 0, number
-    found = _ADDRESS.fullmatch(addr)
+    found = _ADDRESS.fullmatch(address)
     if found is None:
         return None
     ip = 0
     for part in found.groups()[:4]:
         ip = ip << 8 | int(part)
     port = int(found[5])
-    if not port or _address(ip, port) != addr:
+    if not port or _address(ip, port) != address:
         return None
     return name[1], width, ip - number, port, number
 
@@ -135,26 +137,26 @@
 def pack_runs(machines: Machines) -> bytes:
     """Neighbours are rented together: most steps are 1, and a thousand machines take about 1 KiB
     of a value, where groups took 7."""
-    kinds: dict[tuple[str, str, bool, bool], _Kind] = {}
+    groups: dict[tuple[str, str, bool, bool], _Kind] = {}
     numbers: dict[tuple[object, ...], list[int]] = {}
-    for host, entry in machines.items():
-        key = (entry.build, entry.zone, entry.spot, entry.used)
-        kind = kinds.get(key)
-        if kind is None:
-            kind = kinds[key] = _Kind(*key, [], {})
-        place = _place(host, entry.addr)
+    for machine_id, entry in machines.items():
+        key = (entry.machine_type, entry.zone, entry.spot, entry.occupied)
+        group = groups.get(key)
+        if group is None:
+            group = groups[key] = _Kind(*key, [], {})
+        place = _place(machine_id, entry.address)
         if place is None:
-            kind.rest[host] = entry.addr
+            group.others[machine_id] = entry.address
             continue
         run = (key, *place[:4])
         found = numbers.get(run)
         if found is None:
             found = numbers[run] = []
-            kind.runs.append(_Run(*place[:4], found))
+            group.runs.append(_Run(*place[:4], found))
         found.append(place[4])
     for found in numbers.values():
         _to_steps(found)
-    return zlib.compress(msgspec.json.encode(list(kinds.values())))
+    return zlib.compress(msgspec.json.encode(list(groups.values())))
 
 
 def _to_steps(numbers: list[int]) -> None:
@@ -210,19 +212,19 @@
 
 def unpack_runs(packed: bytes) -> Machines:
     """Raises `msgspec.MsgspecError` when broken."""
-    kinds = msgspec.json.decode(_inflate(packed), type=list[_Kind])
+    groups = msgspec.json.decode(_inflate(packed), type=list[_Kind])
     machines: Machines = {}
-    for kind in kinds:
-        what = (kind.build, kind.zone, kind.spot, kind.used)
-        for run in kind.runs:
+    for group in groups:
+        what = (group.machine_type, group.zone, group.spot, group.occupied)
+        for run in group.runs:
             number = 0
             for step in run.steps:
                 number += step
-                host, entry = entry_cache.get(
+                machine_id, entry = entry_cache.get(
                     run.prefix, run.width, number, run.offset + number, run.port, what
                 )
-                machines[host] = entry
-        for host, addr in kind.rest.items():
-            machines[host] = MachineEntry(addr, *what)
+                machines[machine_id] = entry
+        for machine_id, address in group.others.items():
+            machines[machine_id] = MachineEntry(address, *what)
     entry_cache.fit(len(machines))
     return machines
--- a/fallpulley/blocks/registry.py
+++ b/fallpulley/blocks/registry.py
@@ -57,7 +57,7 @@
         self.blocks: dict[str, tuple[BlockRecord, int]] = {}
         self.filled: dict[str, int] = {}  # block -> bytes of its record's value
         self.older: set[str] = set()  # blocks whose records are in the older format
-        self.host_block: dict[str, str] = {}
+        self.shard_of_machine: dict[str, str] = {}
         self._heads: dict[str, tuple[BlockHead, int]] = {}  # with parts, and their stamps
         self._parts: dict[str, dict[int, Part]] = {}  # block -> its parts as last seen
         self._kinds: dict[str, tuple[int, dict[Kind, float]]] = {}  # by block, with its stamp
@@ -66,7 +66,7 @@
         self.retiring: dict[str, list[str]] = {}  # key -> its machines
         self.formats: dict[str, int] = {}  # label -> record format its last process seen knows
         self.format = 1  # that records may be written in
-        self.types: dict[str, MachineType] = {}
+        self.machine_types: dict[str, MachineType] = {}
         self.lost_sessions: dict[str, int] = {}  # label -> stamp at which it was last dropped
 
     def on_key(self, key: str, value: bytes | None, stamp: int) -> str | None:
@@ -97,13 +97,13 @@
             self.leader = None if leader is None else (leader, stamp)
             log.info("leader %s term=%d", leader.label if leader else "none", stamp)
         elif key.startswith(RETIRED):
-            for host in self.retiring.pop(key, ()):
-                self.retired.pop(host, None)
+            for machine_id in self.retiring.pop(key, ()):
+                self.retired.pop(machine_id, None)
             going = _decode(value, Retired)
             if going is not None:
-                hosts = going.hosts or [key[len(RETIRED) :]]
-                self.retiring[key] = hosts
-                self.retired.update(dict.fromkeys(hosts, key))
+                machine_ids = going.machine_ids or [key[len(RETIRED) :]]
+                self.retiring[key] = machine_ids
+                self.retired.update(dict.fromkeys(machine_ids, key))
         elif key.startswith(TEAMS):
             home = _decode(value, TeamHome)
             if home is not None:
@@ -111,7 +111,9 @@
         elif key == CATALOG:
             catalog = _decode(value, Catalog)
             if catalog is not None:
-                self.types = {kind.label: kind for kind in catalog.builds}
+                self.machine_types = {
+                    machine_type.name: machine_type for machine_type in catalog.machine_types
+                }
                 self._kinds.clear()
 
     def _on_head(self, label: str, value: bytes | None, stamp: int) -> str | None:
@@ -173,15 +175,15 @@
         old = self.blocks.get(label)
         before = old[0].machines.keys() if old is not None else set()
         after = record.machines.keys() if record is not None else set()
-        for host in before - after:
-            if self.host_block.get(host) == label:
-                del self.host_block[host]
+        for machine_id in before - after:
+            if self.shard_of_machine.get(machine_id) == label:
+                del self.shard_of_machine[machine_id]
         if record is None:
             self.blocks.pop(label, None)
             return
         self.blocks[label] = (record, stamp)
-        for host in record.machines if old is None else after - before:
-            self.host_block[host] = label
+        for machine_id in record.machines if old is None else after - before:
+            self.shard_of_machine[machine_id] = label
         entry_cache.fit(sum(len(block.machines) for block, _ in self.blocks.values()))
 
     def processors(self, label: str) -> float:
@@ -194,11 +196,11 @@
         known = self._kinds.get(label)
         if known is not None and known[0] == stamp:
             return known[1]
-        numbers = Counter((m.build, m.zone, m.spot) for m in record.machines.values())
+        numbers = Counter((m.machine_type, m.zone, m.spot) for m in record.machines.values())
         found = {
-            kind: number * self.types[kind[0]].cpus
-            for kind, number in numbers.items()
-            if kind[0] in self.types
+            machine_type: number * self.machine_types[machine_type[0]].cpus
+            for machine_type, number in numbers.items()
+            if machine_type[0] in self.machine_types
         }
         self._kinds[label] = (stamp, found)
         return found
--- a/fallpulley/blocks/silence.py
+++ b/fallpulley/blocks/silence.py
@@ -16,20 +16,20 @@
         self._due: list[tuple[float, str]] = []
         self._watched: set[str] = set()
 
-    def watch(self, host: str, at: float) -> None:
+    def watch(self, machine_id: str, at: float) -> None:
         """Look at the machine then, if it is not to be looked at already."""
-        if host not in self._watched:
-            self._watched.add(host)
-            heapq.heappush(self._due, (at, host))
+        if machine_id not in self._watched:
+            self._watched.add(machine_id)
+            heapq.heappush(self._due, (at, machine_id))
 
     def due(self, until: float) -> list[str]:
         """The machines whose time has come; each is to be watched again if it still may hold
         something."""
         found = []
         while self._due and self._due[0][0] < until:
-            host = heapq.heappop(self._due)[1]
-            self._watched.discard(host)
-            found.append(host)
+            machine_id = heapq.heappop(self._due)[1]
+            self._watched.discard(machine_id)
+            found.append(machine_id)
         return found
 
     def clear(self) -> None:
--- a/fallpulley/blocks/writer.py
+++ b/fallpulley/blocks/writer.py
@@ -53,34 +53,34 @@
         self._busy: dict[str, float] = {}  # block -> until when its last write is awaited
         self._handed: set[str] = set()  # blocks whose last write moved machines elsewhere
 
-    def add(self, block: str, host: str, entry: MachineEntry) -> None:
-        self.adding.setdefault(block, {})[host] = entry
+    def add(self, block: str, machine_id: str, entry: MachineEntry) -> None:
+        self.adding.setdefault(block, {})[machine_id] = entry
 
-    def remove(self, block: str, host: str) -> None:
+    def remove(self, block: str, machine_id: str) -> None:
         """Only the holder may ask, for a machine that it no longer places on."""
-        self.removing.setdefault(block, set()).add(host)
+        self.removing.setdefault(block, set()).add(machine_id)
 
-    def hand_over(self, block: str, host: str, to: str) -> None:
+    def hand_over(self, block: str, machine_id: str, to: str) -> None:
         """Only the holder may ask, for an idle machine that it no longer places on."""
-        self.handing.setdefault(block, {})[host] = to
+        self.handing.setdefault(block, {})[machine_id] = to
 
-    def mark(self, block: str, host: str, used: bool) -> None:
+    def mark(self, block: str, machine_id: str, used: bool) -> None:
         """Only the holder may ask; counts once `used` says so."""
-        self.marks.setdefault(block, {})[host] = used
+        self.marks.setdefault(block, {})[machine_id] = used
 
-    def used(self, block: str, host: str) -> bool:
+    def used(self, block: str, machine_id: str) -> bool:
         """The record says that the machine may hold tasks, and no write takes that back."""
         entry = self.registry.blocks.get(block)
-        if entry is None or host in self.marks.get(block, ()):
+        if entry is None or machine_id in self.marks.get(block, ()):
             return False
-        machine = entry[0].machines.get(host)
-        return machine is not None and machine.used
+        machine = entry[0].machines.get(machine_id)
+        return machine is not None and machine.occupied
 
-    def leaving(self, block: str, host: str) -> bool:
+    def leaving(self, block: str, machine_id: str) -> bool:
         """The machine is on its way out of the block, or a write may still move it."""
         return (
-            host in self.removing.get(block, ())
-            or host in self.handing.get(block, ())
+            machine_id in self.removing.get(block, ())
+            or machine_id in self.handing.get(block, ())
             or block in self._unsure
         )
 
@@ -113,8 +113,8 @@
         full_bytes = FULL_RECORDS * self.core.value_bytes
         return entry is not None and bool(entry[0].parts) and filled > full_bytes
 
-    def coming(self, host: str) -> bool:
-        return any(host in hosts for hosts in self.adding.values())
+    def coming(self, machine_id: str) -> bool:
+        return any(machine_id in machine_ids for machine_ids in self.adding.values())
 
     def tick(self) -> None:
         now = self.core.now
@@ -135,23 +135,26 @@
     def _write(self, label: str, record: BlockRecord, stamp: int) -> None:
         adding = self.adding.get(label, {})
         removing = self.removing.get(label, set())
-        for host in list(adding):
-            if host in self.registry.host_block:
-                del adding[host]
-        for host in list(removing):
-            if host not in record.machines:
-                removing.discard(host)
+        for machine_id in list(adding):
+            if machine_id in self.registry.shard_of_machine:
+                del adding[machine_id]
+        for machine_id in list(removing):
+            if machine_id not in record.machines:
+                removing.discard(machine_id)
         marks = self.marks.get(label, {})
         if label not in self._unsure:
             # While a write may still be applied late, a wish that the record seems to grant
             # already stays: that write could take it back.
-            for host, used in list(marks.items()):
-                if host not in record.machines or record.machines[host].used == used:
-                    del marks[host]
+            for machine_id, used in list(marks.items()):
+                if (
+                    machine_id not in record.machines
+                    or record.machines[machine_id].occupied == used
+                ):
+                    del marks[machine_id]
         handing = self.handing.get(label, {})
-        for host in list(handing):
-            if host not in record.machines:
-                del handing[host]
+        for machine_id in list(handing):
+            if machine_id not in record.machines:
+                del handing[machine_id]
         touch = label in self.touching
         if not adding and not removing and not marks and not handing and not touch:
             for wish in (self.adding, self.removing, self.marks, self.handing):
@@ -216,8 +219,8 @@
             edit = edit_record(label, record, stamp, wishes, self._limits(most))
         if not self.core.parts_format:
             # Left to the next list, which grants it to a block with room.
-            for host in adding.keys() - set(edit.added):
-                del adding[host]
+            for machine_id in adding.keys() - set(edit.added):
+                del adding[machine_id]
         return edit.changes + self._retire(edit.removed), {BLOCKS + label: stamp}
 
     def _retirable(self, removing: set[str]) -> list[str]:
@@ -232,12 +235,12 @@
             out = out[: len(out) // 2]
         return out
 
-    def _retire(self, hosts: list[str]) -> list[Change]:
-        if not hosts:
+    def _retire(self, machine_ids: list[str]) -> list[Change]:
+        if not machine_ids:
             return []
         if self.core.newer_format:
-            return [Change(RETIRED + hosts[0], msgspec.json.encode(Retired(hosts)))]
-        return [Change(RETIRED + host, b"{}") for host in hosts]
+            return [Change(RETIRED + machine_ids[0], msgspec.json.encode(Retired(machine_ids)))]
+        return [Change(RETIRED + machine_id, b"{}") for machine_id in machine_ids]
 
     def _move(
         self, own: str, record: BlockRecord, stamp: int, handing: dict[str, str]
@@ -250,15 +253,15 @@
             return None
         half = self.core.txn_ops // 2
         going = {
-            host: _unused(record.machines[host])
-            for host, block in handing.items()
-            if block == to and host in record.machines
+            machine_id: _unused(record.machines[machine_id])
+            for machine_id, block in handing.items()
+            if block == to and machine_id in record.machines
         }
         gets = self._get(to, other, going, half)
         taken = Wishes({}, gets.added, self.marks.get(own, {}), self.addresses)
         gives = edit_record(own, self._current(own, record), stamp, taken, self._limits(half))
         if set(gives.removed) != set(gets.added):
-            going = {host: going[host] for host in gives.removed}
+            going = {machine_id: going[machine_id] for machine_id in gives.removed}
             gets = self._get(to, other, going, half)
         if set(gives.removed) != set(gets.added) or gives.size + gets.size > TXN_BYTES:
             handing.clear()  # a value, or the transaction with both, would be too large: they stay
@@ -275,4 +278,4 @@
 
 
 def _unused(entry: MachineEntry) -> MachineEntry:
-    return MachineEntry(entry.addr, entry.build, entry.zone, entry.spot)
+    return MachineEntry(entry.address, entry.machine_type, entry.zone, entry.spot)
--- a/fallpulley/controller.py
+++ b/fallpulley/controller.py
@@ -31,7 +31,7 @@
 from fallpulley.placement.planner import Planner
 from fallpulley.settings import Settings
 from fallpulley.state.view import View
-from fallpulley.workers.checkins import CheckinHandler
+from fallpulley.workers.checkins import HeartbeatHandler
 
 if TYPE_CHECKING:
     from fallpulley.duties.service import DutiesService
@@ -87,7 +87,7 @@
             self.jobs,
             self.peers,
         )
-        self.checkins = CheckinHandler(
+        self.checkins = HeartbeatHandler(
             core,
             self.view,
             self.registry,
@@ -146,35 +146,35 @@
 
     def _request(self, request: Request) -> None:
         path = request.path.partition("?")[0]
-        ticket, method = request.ticket, request.method
+        pending_response, method = request.ticket, request.method
         answer = self.core.answer
         if path == "/checkin":
             if method != "POST":
-                answer(ticket, 405)
+                answer(pending_response, 405)
             else:
-                self.checkins.take(ticket, request.body)
+                self.checkins.handle(pending_response, request.body)
         elif path == "/up":
             if method not in ("GET", "HEAD"):
-                answer(ticket, 405)
+                answer(pending_response, 405)
             else:
-                answer(ticket, 200 if self.healthy() else 503)
+                answer(pending_response, 200 if self.healthy() else 503)
         elif path == "/work":
             if method != "POST":
-                answer(ticket, 405)
+                answer(pending_response, 405)
             else:
-                self.jobs.submit(ticket, request.body)
+                self.jobs.submit(pending_response, request.body)
         elif path.startswith("/work/"):
             job, _, verb = path[len("/work/") :].partition("/")
             if verb == "" and method == "GET":
-                self.jobs.query(ticket, job)
+                self.jobs.query(pending_response, job)
             elif verb == "abort" and method == "POST":
-                self.jobs.cancel(ticket, job)
+                self.jobs.cancel(pending_response, job)
             elif verb in ("", "abort"):
-                answer(ticket, 405)
+                answer(pending_response, 405)
             else:
-                answer(ticket, 404)
+                answer(pending_response, 404)
         else:
-            answer(ticket, 404)
+            answer(pending_response, 404)
 
     def _operators_request(self, request: OperatorRequest) -> None:
         path = request.path.partition("?")[0]
@@ -239,7 +239,7 @@
         )
         self.jobs.block_of_team = shares.block_of_team
         self.leadership.blocks_to_open = shares.blocks_to_open
-        self.provider.block_for_rental = shares.block_for_rental
+        self.provider.shard_for_rental = shares.block_for_rental
         return shares
 
     def _start_duties(self) -> DutiesService | None:
@@ -257,7 +257,7 @@
             self.provider,
             self.held,
         )
-        self.provider.gate = duties
+        self.provider.action_guard = duties
         return duties
 
     def _peer(self, body: bytes) -> None:
@@ -276,12 +276,16 @@
                 self.jobs.task_counts[job] = (done, running)
         leader = self.registry.leader
         if leader is not None and heartbeat.boot == leader[0].boot:
-            self.provider.targets = heartbeat.targets
+            self.provider.target_sizes = heartbeat.targets
         if self.leadership.term is not None:
             for request in heartbeat.machine_requests:
-                if request.block in self.registry.blocks and request.number > 0:
-                    self.provider.rent(
-                        request.block, request.build, request.zone, request.spot, request.number
+                if request.block in self.registry.blocks and request.count > 0:
+                    self.provider.scale_out(
+                        request.block,
+                        request.machine_type,
+                        request.zone,
+                        request.spot,
+                        request.count,
                     )
 
     def _tell_called_off(self) -> None:
@@ -426,7 +430,7 @@
         self.session.tick()
         if self.standby is not None:
             self.standby.tick()
-        self.checkins.unpark()
+        self.checkins.retry_parked()
         # What looks at every machine and job runs by the clock, not with every batch.
         if self.core.now < self._next_tick:
             return
@@ -460,7 +464,7 @@
             )
             if self.session.live():
                 if held.unconfirmed and term is not None:
-                    self.autoscaler.prove(held)
+                    self.autoscaler.confirm_unreachable_gone(held)
                 machine_requests = self.autoscaler.tick(held, term is not None)
                 if machine_requests:
                     self._machine_requests[held.label] = machine_requests
@@ -470,13 +474,13 @@
         if self.peers.due():
             counts = self._counts()
             if term is not None:
-                self.provider.targets = self.balance.target_sizes()
+                self.provider.target_sizes = self.balance.target_sizes()
             if self.shares is None:
                 self.balance.hand_over(self.held)
             machine_requests = [
                 request for block in self._machine_requests.values() for request in block
             ]
-            self.peers.tick(self.fresh_s(), counts, machine_requests, self.provider.targets)
+            self.peers.tick(self.fresh_s(), counts, machine_requests, self.provider.target_sizes)
             self._machine_requests = {}
 
     def _counts(self) -> list[tuple[str, int, int]]:
@@ -494,4 +498,4 @@
 
     def _answer_checkins(self) -> None:
         look_again, self._look_again = self._look_again, False
-        self.checkins.answer_deferred(look_again)
+        self.checkins.respond_to_deferred(look_again)
--- a/fallpulley/core.py
+++ b/fallpulley/core.py
@@ -97,9 +97,13 @@
         self.record_format = number
 
     def answer(
-        self, ticket: object, status: int, body: bytes = b"", retry_after: float | None = None
+        self,
+        pending_response: object,
+        status: int,
+        body: bytes = b"",
+        retry_after: float | None = None,
     ) -> None:
-        self.effects.append(Answer(ticket, status, body, retry_after))
+        self.effects.append(Answer(pending_response, status, body, retry_after))
 
     def call(
         self, address: str, method: str, path: str, body: bytes | None, timeout_s: float, done: Done
--- a/fallpulley/duties/board.py
+++ b/fallpulley/duties/board.py
@@ -43,10 +43,10 @@
         changed = []
         gone = self.intents.pop(key, None)
         if gone is not None and isinstance(gone[0].action, Return):
-            for host in gone[0].action.hosts:
-                if self.returning.get(host) == key:
-                    del self.returning[host]
-                    changed.append(host)
+            for machine_id in gone[0].action.machine_ids:
+                if self.returning.get(machine_id) == key:
+                    del self.returning[machine_id]
+                    changed.append(machine_id)
         if value is None:
             return changed
         try:
@@ -56,8 +56,8 @@
             return changed
         self.intents[key] = (intent, stamp)
         if isinstance(intent.action, Return):
-            self.returning.update(dict.fromkeys(intent.action.hosts, key))
-            changed += intent.action.hosts
+            self.returning.update(dict.fromkeys(intent.action.machine_ids, key))
+            changed += intent.action.machine_ids
         return changed
 
     def open_before(self, duty: str, token: int) -> bool:
--- a/fallpulley/duties/messages.py
+++ b/fallpulley/duties/messages.py
@@ -29,10 +29,10 @@
     block: str
 
 
-class Return(msgspec.Struct, frozen=True, tag="return"):
+class Return(msgspec.Struct, frozen=True, tag="return", rename={"machine_ids": "hosts"}):
     """Return machines to the cloud. From the moment at which this is durable nobody uses them."""
 
-    hosts: list[str]
+    machine_ids: list[str]
 
 
 class Intent(msgspec.Struct, frozen=True):
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -86,23 +86,23 @@
         changed = self.board.on_key(key, value, stamp)
         if value is None:
             self._dropping.discard(key)
-        for host in changed:
-            self._mark_returning(host)
+        for machine_id in changed:
+            self._mark_returning(machine_id)
 
-    def _mark_returning(self, host: str) -> None:
+    def _mark_returning(self, machine_id: str) -> None:
         """Nobody places on a machine that may be returned at any moment."""
-        held = self.held.get(self.registry.host_block.get(host, ""))
-        machine = held.machines.get(host) if held is not None else None
+        held = self.held.get(self.registry.shard_of_machine.get(machine_id, ""))
+        machine = held.machines.get(machine_id) if held is not None else None
         if held is None or machine is None:
             return
-        machine.returning = host in self.board.returning
-        held.booked.pop(host, None)
+        machine.release_decided = machine_id in self.board.returning
+        held.booked.pop(machine_id, None)
         held.dirty = True
 
     def block_held(self, held: HeldBlock) -> None:
         """A block is ours from now on; some of its machines may be on their way back."""
-        for host in self.board.returning.keys() & held.machines.keys():
-            held.machines[host].returning = True
+        for machine_id in self.board.returning.keys() & held.machines.keys():
+            held.machines[machine_id].release_decided = True
 
     # -- holding ---------------------------------------------------------------------------
 
@@ -166,36 +166,36 @@
         """Machines that no record knows may be granted or returned by us."""
         return self.holds(RECLAIMING)
 
-    def clean_up_under(self) -> dict[str, int] | None:
+    def cleanup_conditions(self) -> dict[str, int] | None:
         """Conditions for dropping records; None: it is not ours to do."""
         token = self.token(CLEANING)
         return None if token is None else {duty_key(CLEANING): token}
 
-    def may_rent(self, request: RentalRequest, block: str) -> bool:
+    def may_scale_out(self, request: RentalRequest, block: str) -> bool:
         """The rental is recorded, and its duty ours; if it is not recorded yet, it will be."""
         token = self.token(RENTING)
         if token is None:
             return False
-        if self._rentals(request.hire):
+        if self._rentals(request.request_id):
             return True
         if not self.board.open_before(RENTING, token):
-            self._intend(RENTING, token, Rent(request, block), request.hire, {})
+            self._intend(RENTING, token, Rent(request, block), request.request_id, {})
         return False
 
-    def rental_settled(self, hire: str) -> None:
+    def on_rental_resolved(self, request_id: str) -> None:
         """The cloud has answered for good."""
-        for name in self._rentals(hire):
+        for name in self._rentals(request_id):
             self._drop(name)
 
-    def _rentals(self, hire: str) -> list[str]:
+    def _rentals(self, request_id: str) -> list[str]:
         """The intents of a rental: two, where the answer to the first was lost."""
         return [
             name
             for name, (intent, _) in self.board.intents.items()
-            if isinstance(intent.action, Rent) and intent.action.request.hire == hire
+            if isinstance(intent.action, Rent) and intent.action.request.request_id == request_id
         ]
 
-    def batch_to_return(self, hosts: list[str]) -> list[str]:
+    def next_release_batch(self, machine_ids: list[str]) -> list[str]:
         """The machines whose return may go out now: those of the oldest open intent. Where there
         is none, one is recorded for `hosts`."""
         token = self.token(RETURNING)
@@ -203,42 +203,46 @@
             return []
         for name, (intent, _) in self.board.intents.items():
             if isinstance(intent.action, Return) and name not in self._dropping:
-                return intent.action.hosts
-        self._intend_return(token, hosts)
+                return intent.action.machine_ids
+        self._intend_return(token, machine_ids)
         return []
 
-    def _intend_return(self, token: int, hosts: list[str]) -> None:
+    def _intend_return(self, token: int, machine_ids: list[str]) -> None:
         """Machines of a block are returned as proof only by its holder, on the record's stamp: any
         later holder sees the intent before it has the block."""
         conditions: dict[str, int] = {}
         batch = []
-        for host in hosts:
-            label = self.registry.host_block.get(host)
+        for machine_id in machine_ids:
+            label = self.registry.shard_of_machine.get(machine_id)
             if label is None:
-                batch.append(host)
+                batch.append(machine_id)
                 continue
             held = self.held.get(label)
-            decided = held is not None and held.machines[host].returning
-            if held is None or not (decided or host in held.unconfirmed):
-                self.provider.to_release.discard(host)  # somebody else's by now, or it reported
+            decided = held is not None and held.machines[machine_id].release_decided
+            if held is None or not (decided or machine_id in held.unconfirmed):
+                self.provider.release_requested.discard(
+                    machine_id
+                )  # somebody else's by now, or it reported
                 continue
-            held.machines[host].returning = True
+            held.machines[machine_id].release_decided = True
             conditions[BLOCKS + label] = held.token
-            batch.append(host)
+            batch.append(machine_id)
         batch = self._fitting(batch)
         if batch:
             self._intend(RETURNING, token, Return(batch), RETURNING, conditions)
 
-    def _fitting(self, hosts: list[str]) -> list[str]:
+    def _fitting(self, machine_ids: list[str]) -> list[str]:
         room = INTENT_SHARE * self.core.value_bytes
-        while len(hosts) > 1 and len(msgspec.json.encode(hosts)) > room:
-            hosts = hosts[: len(hosts) // 2]
-        return hosts
+        while len(machine_ids) > 1 and len(msgspec.json.encode(machine_ids)) > room:
+            machine_ids = machine_ids[: len(machine_ids) // 2]
+        return machine_ids
 
-    def returned(self, hosts: list[str]) -> None:
+    def on_released(self, machine_ids: list[str]) -> None:
         """The cloud has confirmed that the machines are gone."""
         for name, (intent, _) in list(self.board.intents.items()):
-            if isinstance(intent.action, Return) and set(intent.action.hosts) <= set(hosts):
+            if isinstance(intent.action, Return) and set(intent.action.machine_ids) <= set(
+                machine_ids
+            ):
                 self._drop(name)
 
     # -- intents ---------------------------------------------------------------------------
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -8,39 +8,39 @@
 from fallpulley.blocks.registry import Registry
 from fallpulley.blocks.writer import BlockWriter
 from fallpulley.core import Core
-from fallpulley.fleet.demand import groups_of
+from fallpulley.fleet.demand import demand_groups
 from fallpulley.fleet.messages import MachineType
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.fleet.sizing import Group, Sizing, Supply, size_fleet
+from fallpulley.fleet.sizing import DemandGroup, SizingPlan, SupplyUnit, size_fleet
 from fallpulley.mesh.messages import MachineRequest
 from fallpulley.workers.machine import Machine
 
 log = logging.getLogger(__name__)
 
-SIZING_S = 1.0  # between two looks at the fleet: far below any boot time
+SIZING_INTERVAL_SECONDS = 1.0  # between two looks at the fleet: far below any boot time
 # What a look took is to be so small a part of the time between two, up to a tenth of a boot time.
-SIZING_SHARE, SIZING_BOOTS = 1 / 50, 0.1
+SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOTS = 1 / 50, 0.1
 # The same where the cloud has just answered: while thousands of machines are rented it does so
 # several times a second, and each look is at all of them.
-ANSWERED_SHARE = 1 / 5
+SIZING_TIME_SHARE_AFTER_RESPONSE = 1 / 5
 # A machine that is not up after so many boot times is not counted on; after twice as many
 # it goes back. Some take several times as long, a few never come.
-LATE_BOOTS = 2.0
-NEVER_BOOTS = 4.0
+LATE_BOOT_TIMES = 2.0
+ABANDON_BOOT_TIMES = 4.0
 # After a takeover a machine may stay unreachable for this share of a lease.
 UNCONFIRMED_LEASES = 0.25
 # When more than this share of a zone is out of reach, it is the network: they will be back. A
 # wave of recalls takes a third or a half of the cheap machines, among others that answer.
 UNCONFIRMED_SHARE = 0.4
 # A machine that was silent for so many leases goes back: most likely it is no more.
-SILENT_LEASES = 2.5
+ABANDON_OFFLINE_LEASES = 2.5
 
 
 # After a takeover, a block's work is known once its machines have reported.
-KNOWN_REPORTS = 1.5
+UNSETTLED_HEARTBEATS = 1.5
 
 # A machine whose reports come but that has not heard us for so many reports is not counted on.
-UNACKNOWLEDGED_REPORTS = 2.0
+UNACKNOWLEDGED_HEARTBEATS = 2.0
 
 # The level of work is smoothed over so many boot times.
 SMOOTH_BOOTS = 1.0
@@ -58,207 +58,234 @@
         self.registry = registry
         self.writer = writer
         self.provider = provider
-        self._last: dict[str, float] = {}
-        self._wait_s: dict[str, float] = {}  # from the last look to the next
-        self._levels: dict[GroupKey, float] = {}
+        self._sized_at: dict[str, float] = {}
+        self._interval_s: dict[str, float] = {}  # from the last look to the next
+        self._smoothed_work: dict[GroupKey, float] = {}
 
     def tick(self, held: HeldBlock, leading: bool) -> list[MachineRequest]:
         """Give up what should go, rent as the leader, or say what the leader should rent."""
         now = self.core.now
-        if not self.registry.types:
+        if not self.registry.machine_types:
             return []
         # A partly filled rental is followed at once by one of the next kind.
-        last = self._last.get(held.label, float("-inf"))
-        wait_s = self._wait_s.get(held.label, SIZING_S)
+        last = self._sized_at.get(held.label, float("-inf"))
+        wait_s = self._interval_s.get(held.label, SIZING_INTERVAL_SECONDS)
         answered = self.provider.answered_at > last
-        if now < last + (wait_s * SIZING_SHARE / ANSWERED_SHARE if answered else wait_s):
+        if now < last + (
+            wait_s * SIZING_TIME_SHARE / SIZING_TIME_SHARE_AFTER_RESPONSE if answered else wait_s
+        ):
             return []
-        self._last[held.label] = now
+        self._sized_at[held.label] = now
         began = self.core.clock()
-        machine_requests = self._look(held, leading, min(now - last, wait_s))
-        boot_s = min(kind.startup_s for kind in self.registry.types.values())
-        took_s = min((self.core.clock() - began) / SIZING_SHARE, SIZING_BOOTS * boot_s)
-        self._wait_s[held.label] = max(SIZING_S, took_s)
+        machine_requests = self._resize(held, leading, min(now - last, wait_s))
+        boot_s = min(machine_type.boot_s for machine_type in self.registry.machine_types.values())
+        took_s = min(
+            (self.core.clock() - began) / SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOTS * boot_s
+        )
+        self._interval_s[held.label] = max(SIZING_INTERVAL_SECONDS, took_s)
         return machine_requests
 
-    def _look(self, held: HeldBlock, leading: bool, since_s: float) -> list[MachineRequest]:
+    def _resize(self, held: HeldBlock, leading: bool, since_s: float) -> list[MachineRequest]:
         now = self.core.now
-        self._look_over(held)
-        if not held.loaded or (held.taken_over and now < held.taken_at + self._known_s(held)):
+        self._abandon_useless_machines(held)
+        if not held.loaded or (held.taken_over and now < held.taken_at + self._unsettled_s(held)):
             return []
-        sizing = self._size(held, since_s)
-        for host in sizing.returns:
-            self._give_up(held, held.machines[host], "idle")
+        sizing = self._plan_size(held, since_s)
+        for machine_id in sizing.scale_in:
+            self._abandon(held, held.machines[machine_id], "idle")
         if leading:
-            for rent in sizing.rents:
-                self.provider.rent(held.label, rent.build, rent.zone, rent.spot, rent.number)
+            for rent in sizing.scale_out:
+                self.provider.scale_out(
+                    held.label, rent.machine_type, rent.zone, rent.spot, rent.count
+                )
             return []
-        return [MachineRequest(held.label, r.build, r.zone, r.spot, r.number) for r in sizing.rents]
+        return [
+            MachineRequest(held.label, r.machine_type, r.zone, r.spot, r.count)
+            for r in sizing.scale_out
+        ]
 
-    def _known_s(self, held: HeldBlock) -> float:
+    def _unsettled_s(self, held: HeldBlock) -> float:
         """How long after a takeover the block's work is not known: what runs, and what is done
         but not yet durable, comes with the machines' reports. Taken for waiting, it once had 300
         machines rented at once."""
         if held.unconfirmed:
             return self.core.lease_s
-        return KNOWN_REPORTS * self.core.report_s
+        return UNSETTLED_HEARTBEATS * self.core.report_s
 
-    def _size(self, held: HeldBlock, since_s: float) -> Sizing:
+    def _plan_size(self, held: HeldBlock, since_s: float) -> SizingPlan:
         now = self.core.now
-        types = self.provider.types or self.registry.types
+        machine_types = self.provider.machine_types or self.registry.machine_types
         supply = []
         for machine in held.machines.values():
-            if machine.leaving or machine.returning or machine.gone:
+            if machine.leaving_shard or machine.release_decided or machine.failed_in_cloud:
                 continue
-            if machine.recall_at is not None:
+            if machine.preempted_at is not None:
                 continue
-            kind = types.get(machine.entry.build)
-            if kind is None or (machine.ever_up and not machine.up):
+            machine_type = machine_types.get(machine.entry.machine_type)
+            if machine_type is None or (machine.ever_online and not machine.online):
                 continue
             since = machine.unacknowledged_since if machine.fenced else None
-            if since is not None and now - since > UNACKNOWLEDGED_REPORTS * self.core.report_s:
+            if since is not None and now - since > UNACKNOWLEDGED_HEARTBEATS * self.core.report_s:
                 continue
-            if not machine.ever_up and now - machine.got_at > LATE_BOOTS * kind.startup_s:
+            if (
+                not machine.ever_online
+                and now - machine.granted_at > LATE_BOOT_TIMES * machine_type.boot_s
+            ):
                 continue
             idle = None
             if machine.usable and machine.empty and machine.idle_since is not None:
                 idle = now - machine.idle_since
             supply.append(
-                Supply(
-                    machine.host,
-                    kind.label,
+                SupplyUnit(
+                    machine.machine_id,
+                    machine_type.name,
                     machine.entry.zone,
                     machine.entry.spot,
-                    kind.cpus,
+                    machine_type.cpus,
                     idle,
                 )
             )
-        coming = self.provider.pending_for(held.label)
+        coming = self.provider.pending_rentals(held.label)
         for rental in coming:
-            kind = types.get(rental.build)
-            if kind is not None:
+            machine_type = machine_types.get(rental.machine_type)
+            if machine_type is not None:
                 supply += [
-                    Supply(
-                        f"{rental.hire}/{n}",
-                        rental.build,
-                        rental.hall,
-                        rental.loaners,
-                        kind.cpus,
+                    SupplyUnit(
+                        f"{rental.request_id}/{n}",
+                        rental.machine_type,
+                        rental.zone,
+                        rental.spot,
+                        machine_type.cpus,
                         None,
                     )
-                    for n in range(rental.number)
+                    for n in range(rental.count)
                 ]
         # Granted, but not in the record yet.
-        for host, entry in self.writer.adding.get(held.label, {}).items():
-            kind = types.get(entry.build)
-            if kind is not None and host not in held.machines:
-                supply.append(Supply(host, entry.build, entry.zone, entry.spot, kind.cpus, None))
+        for machine_id, entry in self.writer.adding.get(held.label, {}).items():
+            machine_type = machine_types.get(entry.machine_type)
+            if machine_type is not None and machine_id not in held.machines:
+                supply.append(
+                    SupplyUnit(
+                        machine_id,
+                        entry.machine_type,
+                        entry.zone,
+                        entry.spot,
+                        machine_type.cpus,
+                        None,
+                    )
+                )
         operators = self.core.settings.operators
         most = operators.machines_max or 10**6
-        boot_s = min((kind.startup_s for kind in types.values()), default=60.0)
-        groups = groups_of(held, types, now, operators.drain_boots * boot_s)
-        self._smooth(held.label, groups, types, since_s)
+        boot_s = min((machine_type.boot_s for machine_type in machine_types.values()), default=60.0)
+        groups = demand_groups(held, machine_types, now, operators.drain_boots * boot_s)
+        self._smooth(held.label, groups, machine_types, since_s)
         return size_fleet(
             groups,
             supply,
-            types,
-            self.provider.refused(),
+            machine_types,
+            self.provider.refused_offers(),
             operators.drain_boots,
             operators.idle_boots,
             most - len(supply),
         )
 
     def _smooth(
-        self, block: str, groups: list[Group], types: dict[str, MachineType], since_s: float
+        self,
+        block: str,
+        groups: list[DemandGroup],
+        machine_types: dict[str, MachineType],
+        since_s: float,
     ) -> None:
         """Jobs come in lumps that are over before a machine rented for them is up: what counts
         is the level of work over about a boot time, and backlogs far above it."""
-        boot_s = min((kind.startup_s for kind in types.values()), default=60.0)
+        boot_s = min((machine_type.boot_s for machine_type in machine_types.values()), default=60.0)
         weight = min(1.0, since_s / (SMOOTH_BOOTS * boot_s))
         seen = set()
         for group in groups:
-            key = (block, group.spot_ok, group.builds, group.zone, group.urgent)
+            key = (block, group.allow_spot, group.machine_types, group.zone, group.urgent)
             seen.add(key)
-            level = self._levels.get(key, group.work)
+            level = self._smoothed_work.get(key, group.work)
             level += weight * (group.work - level)
-            self._levels[key] = level
+            self._smoothed_work[key] = level
             group.work = max(level, group.work * BACKLOG_SHARE)
-        for key in list(self._levels):
+        for key in list(self._smoothed_work):
             if key[0] == block and key not in seen:
-                self._levels[key] *= 1 - weight
-                if self._levels[key] > 1.0:
-                    _, spot_ok, builds, zone, urgent = key
+                self._smoothed_work[key] *= 1 - weight
+                if self._smoothed_work[key] > 1.0:
+                    _, spot_ok, type_names, zone, urgent = key
                     groups.append(
-                        Group(spot_ok, builds, zone, self._levels[key], 0.0, urgent=urgent)
+                        DemandGroup(
+                            spot_ok, type_names, zone, self._smoothed_work[key], 0.0, urgent=urgent
+                        )
                     )
 
-    def _look_over(self, held: HeldBlock) -> None:
+    def _abandon_useless_machines(self, held: HeldBlock) -> None:
         """Machines that never came, went silent, stopped or are faulty go back."""
         now = self.core.now
         for machine in held.machines.values():
-            if machine.leaving:
+            if machine.leaving_shard:
                 continue
-            kind = self.registry.types.get(machine.entry.build)
-            startup = kind.startup_s if kind else 60.0
-            listed = self.provider.listed.get(machine.host)
-            if listed is not None and listed.stage == "failed":
-                machine.gone = True
-            if machine.host in held.unconfirmed:
+            machine_type = self.registry.machine_types.get(machine.entry.machine_type)
+            startup = machine_type.boot_s if machine_type else 60.0
+            listed = self.provider.listed_machines.get(machine.machine_id)
+            if listed is not None and listed.state == "failed":
+                machine.failed_in_cloud = True
+            if machine.machine_id in held.unconfirmed:
                 continue
             unacknowledged_s = (
                 now - machine.unacknowledged_since
                 if machine.unacknowledged_since is not None
                 else 0.0
             )
-            if unacknowledged_s > SILENT_LEASES * self.core.lease_s and not machine.runs:
-                self._give_up(held, machine, "hears nothing")
-            elif not machine.up and not machine.runs:
-                since = max(machine.heard_at, machine.got_at)
-                if machine.host in self.provider.released:
-                    self._give_up(held, machine, "released")
-                elif machine.gone:
-                    self._give_up(held, machine, "failed")
-                elif machine.ever_up:
-                    if now - since > SILENT_LEASES * self.core.lease_s:
-                        self._give_up(held, machine, "silent")
-                elif now - since > max(NEVER_BOOTS * startup, 2 * self.core.lease_s):
-                    self._give_up(held, machine, "never up")
+            if unacknowledged_s > ABANDON_OFFLINE_LEASES * self.core.lease_s and not machine.runs:
+                self._abandon(held, machine, "hears nothing")
+            elif not machine.online and not machine.runs:
+                since = max(machine.last_heartbeat_at, machine.granted_at)
+                if machine.machine_id in self.provider.released_at:
+                    self._abandon(held, machine, "released")
+                elif machine.failed_in_cloud:
+                    self._abandon(held, machine, "failed")
+                elif machine.ever_online:
+                    if now - since > ABANDON_OFFLINE_LEASES * self.core.lease_s:
+                        self._abandon(held, machine, "silent")
+                elif now - since > max(ABANDON_BOOT_TIMES * startup, 2 * self.core.lease_s):
+                    self._abandon(held, machine, "never up")
             elif (
                 len(machine.failed_jobs) >= FAULTY_JOBS
-                and machine.completed < 4 * len(machine.failed_jobs)
+                and machine.completed_tasks < 4 * len(machine.failed_jobs)
                 and not machine.runs
             ):
-                self._give_up(held, machine, "faulty")
+                self._abandon(held, machine, "faulty")
 
-    def prove(self, held: HeldBlock) -> None:
+    def confirm_unreachable_gone(self, held: HeldBlock) -> None:
         """A machine that does not answer after a takeover holds back every job accepted before
         it. Nearly always it is dead; the cloud's answer to its release proves it empty. Only
         the leader asks for that."""
         if self.core.now - held.taken_at < UNCONFIRMED_LEASES * self.core.lease_s:
             return
         zones: dict[str, list[int]] = {}
-        for host, machine in held.machines.items():
+        for machine_id, machine in held.machines.items():
             zone = zones.setdefault(machine.entry.zone, [0, 0])
-            zone[0] += host in held.unconfirmed
+            zone[0] += machine_id in held.unconfirmed
             zone[1] += 1
-        for host in list(held.unconfirmed):
-            machine = held.machines[host]
+        for machine_id in list(held.unconfirmed):
+            machine = held.machines[machine_id]
             missing, all_there = zones[machine.entry.zone]
-            tried = machine.fence_fails >= 2 or not machine.entry.addr
-            if host in self.provider.released:
-                held.confirm_empty(host)
+            tried = machine.fence_failures >= 2 or not machine.entry.address
+            if machine_id in self.provider.released_at:
+                held.confirm_empty(machine_id)
             elif (
-                host not in self.provider.to_release
+                machine_id not in self.provider.release_requested
                 and tried
                 and missing <= max(1.0, UNCONFIRMED_SHARE * all_there)
             ):
-                log.info("machine released as proof machine=%s block=%s", host, held.label)
-                self.provider.to_release.add(host)
+                log.info("machine released as proof machine=%s block=%s", machine_id, held.label)
+                self.provider.release_requested.add(machine_id)
 
-    def _give_up(self, held: HeldBlock, machine: Machine, why: str) -> None:
+    def _abandon(self, held: HeldBlock, machine: Machine, why: str) -> None:
         """From here nothing is placed on it, whatever becomes of the write."""
-        log.info("machine given up machine=%s why=%s block=%s", machine.host, why, held.label)
-        machine.leaving = True
-        held.marks_due[machine.host] = None
+        log.info("machine given up machine=%s why=%s block=%s", machine.machine_id, why, held.label)
+        machine.leaving_shard = True
+        held.marks_due[machine.machine_id] = None
         held.dirty = True
-        self.writer.remove(held.label, machine.host)
+        self.writer.remove(held.label, machine.machine_id)
--- a/fallpulley/fleet/messages.py
+++ b/fallpulley/fleet/messages.py
@@ -5,56 +5,86 @@
 import msgspec
 
 # What the cloud's protocol allows: machines in a page of its list, in a release and in a rental.
-LIST_PAGE = 500
-RELEASE_MOST = 100
-RENTAL_MOST = 50
-
-
-class MachineType(msgspec.Struct):
-    label: str
+LIST_PAGE_SIZE = 500
+MAX_RELEASED_MACHINES = 100
+MAX_RENTED_MACHINES = 50
+
+
+class MachineType(
+    msgspec.Struct,
+    rename={
+        "name": "label",
+        "gpus": "cards",
+        "memory_gb": "mem_gb",
+        "price_per_hour": "hourly",
+        "boot_s": "startup_s",
+        "zones": "halls",
+    },
+):
+    name: str
     cpus: float
-    cards: float
-    mem_gb: float
-    hourly: float
+    gpus: float
+    memory_gb: float
+    price_per_hour: float
     spot_price: float
-    startup_s: float
-    halls: list[str]
+    boot_s: float
+    zones: list[str]
     cache_gb: float = 0.0
     fetch_gb_per_s: float = 1.0
 
 
-class Catalog(msgspec.Struct):
+class Catalog(msgspec.Struct, rename={"machine_types": "builds"}):
     """`GET /catalog`, and `live/catalog`: every controller needs the types."""
 
-    builds: list[MachineType]
-
-
-class RentalRequest(msgspec.Struct):
-    hire: str
-    build: str
-    hall: str
-    loaners: bool
-    number: int
-
-
-class RentalAnswer(msgspec.Struct):
-    hosts: list[str] = []
-
-
-class Release(msgspec.Struct):
-    hosts: list[str]
-
-
-class Listed(msgspec.Struct):
-    uid: str
-    build: str
-    hall: str
-    loaners: bool
-    stage: str
-    addr: str = ""
-    held_s: float = 0.0
-
-
-class MachineList(msgspec.Struct):
-    hosts: list[Listed]
+    machine_types: list[MachineType]
+
+
+class RentalRequest(
+    msgspec.Struct,
+    rename={
+        "request_id": "hire",
+        "machine_type": "build",
+        "zone": "hall",
+        "spot": "loaners",
+        "count": "number",
+    },
+):
+    request_id: str
+    machine_type: str
+    zone: str
+    spot: bool
+    count: int
+
+
+class RentalResponse(msgspec.Struct, rename={"machine_ids": "hosts"}):
+    machine_ids: list[str] = []
+
+
+class ReleaseRequest(msgspec.Struct, rename={"machine_ids": "hosts"}):
+    machine_ids: list[str]
+
+
+class ListedMachine(
+    msgspec.Struct,
+    rename={
+        "machine_id": "uid",
+        "machine_type": "build",
+        "zone": "hall",
+        "spot": "loaners",
+        "state": "stage",
+        "address": "addr",
+        "age_s": "held_s",
+    },
+):
+    machine_id: str
+    machine_type: str
+    zone: str
+    spot: bool
+    state: str
+    address: str = ""
+    age_s: float = 0.0
+
+
+class MachineList(msgspec.Struct, rename={"machines": "hosts"}):
+    machines: list[ListedMachine]
     has_next: bool = False
--- a/fallpulley/jobs/open.py
+++ b/fallpulley/jobs/open.py
@@ -8,7 +8,7 @@
 
 from fallpulley.jobs.messages import PRIORITY_LEVELS, JobKind, JobRecord, Submission
 from fallpulley.jobs.pipelines import DependencyNode
-from fallpulley.workers.machine import Run
+from fallpulley.workers.machine import TaskRun
 
 # Of a value's room, the share a chunk of completion bits may take after base64.
 CHUNK_SHARE = 0.6
@@ -58,7 +58,7 @@
         self.completed_count = 0
         self.durable_bits = bytearray(len(self.completed_bits))
         self.durable_count = 0
-        self.runs: dict[int, Run] = {}
+        self.runs: dict[int, TaskRun] = {}
         self.task_queue: deque[int] = deque(range(spec.task_count))
         self.in_queue = bytearray(b"\1") * spec.task_count  # which indices stand in the queue
         self.cancelled = False
@@ -168,10 +168,10 @@
                 self.in_queue[index] = 1
             self.gang_restarting = self.spec.kind == JobKind.GANG and bool(self.runs)
 
-    def record_failure(self, host: str, now: float, lease_s: float) -> None:
+    def record_failure(self, machine_id: str, now: float, lease_s: float) -> None:
         """Another machine next; when it fails everywhere, growing pauses."""
         self.failure_count += 1
-        self.failed_machines.add(host)
+        self.failed_machines.add(machine_id)
         if len(self.failed_machines) > 1:
             self.retry_at = now + min(
                 MAX_RETRY_PAUSE_LEASES * lease_s, 0.25 * lease_s * 2 ** (self.failure_count - 2)
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -165,7 +165,7 @@
 
     def _task_s(self, spec: Submission) -> float:
         """A task's estimated fetch and run time (T 3-1: transfer cost and mean run time)."""
-        rates = [kind.fetch_gb_per_s for kind in self.registry.types.values()]
+        rates = [kind.fetch_gb_per_s for kind in self.registry.machine_types.values()]
         rate = sum(rates) / len(rates) if rates else 0.0
         return spec.estimated_run_s + (spec.image_gb / rate if rate > 0 else 0.0)
 
@@ -200,7 +200,7 @@
     # -- answers ---------------------------------------------------------------------------
 
     def _respond_with_state(
-        self, ticket: Any, job_id: str, entry: JobEntry, status: int = 200
+        self, pending_response: Any, job_id: str, entry: JobEntry, status: int = 200
     ) -> None:
         state = JobStatus(job_id, entry.state)
         if entry.state == JobState.DONE:
@@ -208,89 +208,89 @@
         elif entry.state == JobState.OPEN:
             state.done, state.running = self.task_counts.get(job_id, (0, 0))
             state.state = JobState.RUNNING if state.running else JobState.PENDING
-        self.core.answer(ticket, status, msgspec.json.encode(state))
+        self.core.answer(pending_response, status, msgspec.json.encode(state))
 
     def _respond_unavailable(
-        self, ticket: Any, why: str, retry_s: float = RETRY_AFTER_SECONDS
+        self, pending_response: Any, why: str, retry_s: float = RETRY_AFTER_SECONDS
     ) -> None:
         body = msgspec.json.encode({"error": why})
-        self.core.answer(ticket, 503, body, retry_s)
+        self.core.answer(pending_response, 503, body, retry_s)
 
-    def _respond_error(self, ticket: Any, status: int, why: str) -> None:
-        self.core.answer(ticket, status, msgspec.json.encode({"error": why}))
+    def _respond_error(self, pending_response: Any, status: int, why: str) -> None:
+        self.core.answer(pending_response, status, msgspec.json.encode({"error": why}))
 
-    def query(self, ticket: Any, job_id: str) -> None:
+    def query(self, pending_response: Any, job_id: str) -> None:
         """`GET /work/{id}`: a final state from memory, else after a round begun from now on."""
         if not JOB_ID.fullmatch(job_id):
-            self._respond_error(ticket, 404, "no such job")
+            self._respond_error(pending_response, 404, "no such job")
             return
         entry = self.entries.get(job_id)
         if entry is not None and entry.state in FINAL_STATES:
-            self._respond_with_state(ticket, job_id, entry)
+            self._respond_with_state(pending_response, job_id, entry)
             return
 
         def on_current(ok: bool) -> None:
             found = self.entries.get(job_id)
             if found is not None and (ok or found.state in FINAL_STATES):
-                self._respond_with_state(ticket, job_id, found)
+                self._respond_with_state(pending_response, job_id, found)
             elif not ok:
-                self._respond_unavailable(ticket, "state service out of reach")
+                self._respond_unavailable(pending_response, "state service out of reach")
             else:
-                self._respond_error(ticket, 404, "no such job")
+                self._respond_error(pending_response, 404, "no such job")
 
         self.view.when_current(on_current, self.core.now)
 
     # -- submissions -----------------------------------------------------------------------
 
-    def submit(self, ticket: Any, body: bytes) -> None:
+    def submit(self, pending_response: Any, body: bytes) -> None:
         spec = parse_submission(body)
         if isinstance(spec, str):
             log.info("submission malformed why=%s", spec)
             job_id = job_id_of(body)
             if job_id is None:
-                self._respond_error(ticket, 400, spec)
+                self._respond_error(pending_response, 400, spec)
             elif job_id in self.entries:
-                self.query(ticket, job_id)
+                self.query(pending_response, job_id)
             else:
-                self._respond_error_unless_accepted(ticket, job_id, spec, 400)
+                self._respond_error_unless_accepted(pending_response, job_id, spec, 400)
             return
         entry = self.entries.get(spec.job_id)
         if entry is not None:
-            self.query(ticket, spec.job_id)
+            self.query(pending_response, spec.job_id)
             return
-        if not self.registry.types or not self.view.ready:
-            self._respond_unavailable(ticket, "machine types not known yet")
+        if not self.registry.machine_types or not self.view.ready:
+            self._respond_unavailable(pending_response, "machine types not known yet")
             return
         why = self.why_never_runs(spec)
         if why is not None:
-            self._respond_error_unless_accepted(ticket, spec.job_id, why)
+            self._respond_error_unless_accepted(pending_response, spec.job_id, why)
             return
         if spec.depends_on and not self.core.newer_format:
             # An older controller would start it at once.
-            self._respond_unavailable(ticket, "not every controller knows pipelines yet")
+            self._respond_unavailable(pending_response, "not every controller knows pipelines yet")
             return
         if all(name in self.entries for name in spec.depends_on or ()):
-            self._assign_shard(ticket, spec)
+            self._assign_shard(pending_response, spec)
             return
 
         def on_current(ok: bool) -> None:
             found = self.entries.get(spec.job_id)
             if found is not None and (ok or found.state in FINAL_STATES):
-                self._respond_with_state(ticket, spec.job_id, found)
+                self._respond_with_state(pending_response, spec.job_id, found)
             elif not ok:
-                self._respond_unavailable(ticket, "state service out of reach")
+                self._respond_unavailable(pending_response, "state service out of reach")
             elif all(name in self.entries for name in spec.depends_on or ()):
-                self._assign_shard(ticket, spec)
+                self._assign_shard(pending_response, spec)
             else:
-                self._respond_error(ticket, 422, "awaits a job that was never accepted")
+                self._respond_error(pending_response, 422, "awaits a job that was never accepted")
 
         self.view.when_current(on_current, self.core.now)
 
-    def _assign_shard(self, ticket: Any, spec: Submission) -> None:
+    def _assign_shard(self, pending_response: Any, spec: Submission) -> None:
         """All that it awaits was accepted: into a block with it."""
         block = self._choose_shard(spec)
         if block is None:
-            self._respond_unavailable(ticket, "no block open yet")
+            self._respond_unavailable(pending_response, "no block open yet")
             return
         if spec.depends_on is not None:
             # Done never goes back: what is done need not stand in the record.
@@ -298,21 +298,21 @@
                 a for a in dict.fromkeys(spec.depends_on) if self.entries[a].state != JobState.DONE
             ]
             spec = msgspec.structs.replace(spec, depends_on=depends_on or None)
-        self._write_acceptance(ticket, spec, block)
+        self._write_acceptance(pending_response, spec, block)
 
     def _respond_error_unless_accepted(
-        self, ticket: Any, job_id: str, why: str, status: int = 422
+        self, pending_response: Any, job_id: str, why: str, status: int = 422
     ) -> None:
         """An accepted job never gets 400 or 422, whatever a repeat of it holds."""
 
         def on_current(ok: bool) -> None:
             found = self.entries.get(job_id)
             if found is not None and (ok or found.state in FINAL_STATES):
-                self._respond_with_state(ticket, job_id, found)
+                self._respond_with_state(pending_response, job_id, found)
             elif ok:
-                self._respond_error(ticket, status, why)
+                self._respond_error(pending_response, status, why)
             else:
-                self._respond_unavailable(ticket, "state service out of reach")
+                self._respond_unavailable(pending_response, "state service out of reach")
 
         self.view.when_current(on_current, self.core.now)
 
@@ -321,13 +321,13 @@
         team = self.teams.get(spec.team)
         if team is None:
             return "unknown team"
-        for kind in self.registry.types.values():
+        for kind in self.registry.machine_types.values():
             if (
-                (spec.machine_types is None or kind.label in spec.machine_types)
-                and (spec.zone is None or spec.zone in kind.halls)
+                (spec.machine_types is None or kind.name in spec.machine_types)
+                and (spec.zone is None or spec.zone in kind.zones)
                 and spec.cpus <= kind.cpus
-                and spec.gpus <= kind.cards
-                and spec.memory_gb <= kind.mem_gb
+                and spec.gpus <= kind.gpus
+                and spec.memory_gb <= kind.memory_gb
             ):
                 break
         else:
@@ -357,20 +357,20 @@
         block that had nothing but spot machines once got urgent jobs that may not run on them."""
         usable = sum(
             cpus
-            for (build, zone, spot), cpus in self.registry.kinds(label).items()
+            for (type_name, zone, spot), cpus in self.registry.kinds(label).items()
             if (spec.allow_spot or not spot)
-            and (spec.machine_types is None or build in spec.machine_types)
+            and (spec.machine_types is None or type_name in spec.machine_types)
             and (spec.zone is None or zone == spec.zone)
         )
         return usable == 0, self.estimated_work(label) / max(usable, 1.0), label
 
-    def _write_acceptance(self, ticket: Any, spec: Submission, block: str) -> None:
+    def _write_acceptance(self, pending_response: Any, spec: Submission, block: str) -> None:
         key = JOB_PREFIX + spec.job_id
         value = msgspec.json.encode(
             JobRecord(block, round(self.core.wall * 1000), spec.task_count, JobState.OPEN, spec)
         )
         if len(value) > self.core.value_bytes:
-            self._respond_error(ticket, 400, "too long")
+            self._respond_error(pending_response, 400, "too long")
             return
         conditions = {key: 0}
         changes = [Change(key, value)]
@@ -393,11 +393,11 @@
                 body = msgspec.json.encode(
                     JobStatus(spec.job_id, JobState.CANCELLED if cancelled else JobState.PENDING)
                 )
-                self.core.answer(ticket, 201, body)
+                self.core.answer(pending_response, 201, body)
             elif status == 409:
-                self._respond_after_conflict(ticket, spec)
+                self._respond_after_conflict(pending_response, spec)
             else:
-                self._respond_unavailable(ticket, "state service did not answer")
+                self._respond_unavailable(pending_response, "state service did not answer")
 
         self.core.state.write(
             Write(
@@ -409,35 +409,37 @@
             )
         )
 
-    def _respond_after_conflict(self, ticket: Any, spec: Submission) -> None:
+    def _respond_after_conflict(self, pending_response: Any, spec: Submission) -> None:
         """The record exists: accepted before, here or elsewhere. Say its current state."""
 
         def on_current(ok: bool) -> None:
             found = self.entries.get(spec.job_id)
             if found is not None and (ok or found.state in FINAL_STATES):
-                self._respond_with_state(ticket, spec.job_id, found)
+                self._respond_with_state(pending_response, spec.job_id, found)
             else:
-                self._respond_unavailable(ticket, "not decided, ask again")
+                self._respond_unavailable(pending_response, "not decided, ask again")
 
         self.view.when_current(on_current, self.core.now)
 
     # -- cancels ---------------------------------------------------------------------------
 
-    def cancel(self, ticket: Any, job_id: str, attempts_left: int = MAX_CANCEL_ATTEMPTS) -> None:
+    def cancel(
+        self, pending_response: Any, job_id: str, attempts_left: int = MAX_CANCEL_ATTEMPTS
+    ) -> None:
         if not JOB_ID.fullmatch(job_id):
-            self._respond_error(ticket, 404, "no such job")
+            self._respond_error(pending_response, 404, "no such job")
             return
 
         def on_current(ok: bool) -> None:
             found = self.entries.get(job_id)
             if found is not None and found.state in FINAL_STATES:
-                self._respond_with_state(ticket, job_id, found)
+                self._respond_with_state(pending_response, job_id, found)
             elif not ok:
-                self._respond_unavailable(ticket, "state service out of reach")
+                self._respond_unavailable(pending_response, "state service out of reach")
             elif found is None:
-                self._respond_error(ticket, 404, "no such job")
+                self._respond_error(pending_response, 404, "no such job")
             else:
-                self._write_cancellation(ticket, job_id, found, attempts_left)
+                self._write_cancellation(pending_response, job_id, found, attempts_left)
 
         entry = self.entries.get(job_id)
         if (
@@ -446,14 +448,14 @@
             and attempts_left == MAX_CANCEL_ATTEMPTS
         ):
             # The write's own condition says whether this is still the newest state.
-            self._write_cancellation(ticket, job_id, entry, attempts_left)
+            self._write_cancellation(pending_response, job_id, entry, attempts_left)
         elif entry is not None and entry.state in FINAL_STATES:
-            self._respond_with_state(ticket, job_id, entry)
+            self._respond_with_state(pending_response, job_id, entry)
         else:
             self.view.when_current(on_current, self.core.now)
 
     def _write_cancellation(
-        self, ticket: Any, job_id: str, entry: JobEntry, attempts_left: int
+        self, pending_response: Any, job_id: str, entry: JobEntry, attempts_left: int
     ) -> None:
         key = JOB_PREFIX + job_id
         value = msgspec.json.encode(
@@ -465,12 +467,14 @@
                 log.info("job withdrawn job=%s", job_id)
                 self.newly_cancelled.append(job_id)
                 self.core.answer(
-                    ticket, 200, msgspec.json.encode(JobStatus(job_id, JobState.CANCELLED))
+                    pending_response,
+                    200,
+                    msgspec.json.encode(JobStatus(job_id, JobState.CANCELLED)),
                 )
             elif status == 409 and attempts_left > 0:
-                self.cancel(ticket, job_id, attempts_left - 1)
+                self.cancel(pending_response, job_id, attempts_left - 1)
             else:
-                self._respond_unavailable(ticket, "not decided, ask again")
+                self._respond_unavailable(pending_response, "not decided, ask again")
 
         self.core.state.write(
             Write(
--- a/fallpulley/mesh/messages.py
+++ b/fallpulley/mesh/messages.py
@@ -9,10 +9,10 @@
     """Machines that a block's holder asks the leader for."""
 
     block: str
-    build: str
+    machine_type: str
     zone: str
     spot: bool
-    number: int
+    count: int
 
 
 class Heartbeat(msgspec.Struct, tag="beat", array_like=True):
--- a/fallpulley/placement/estimate.py
+++ b/fallpulley/placement/estimate.py
@@ -45,6 +45,6 @@
     return (corrected_s * PRIOR_TASKS + observed_s) / (PRIOR_TASKS + observed)
 
 
-def left_of(estimate_s: float, ran_s: float) -> float:
+def remaining_run_time(estimate_s: float, ran_s: float) -> float:
     """What a running task still needs; one past its estimate is taken to need a share more."""
     return max(estimate_s - ran_s, OVERRUN * max(estimate_s, ran_s))
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -6,13 +6,13 @@
 from fallpulley.blocks.registry import Registry
 from fallpulley.core import Core
 from fallpulley.jobs.service import JobService
-from fallpulley.placement.queue import plan_block
+from fallpulley.placement.queue import plan_shard
 
 # The next plan waits so many times what the last one took: a twentieth of the time is for
 # planning. Where that would be longer than a part of a report interval, room would stand idle for
 # what it saves: then up to a fifth of the time is.
 PLAN_SHARE, PLAN_SHARE_LEAST = 20.0, 4.0
-PLAN_REPORTS_MOST = 0.15
+MAX_PLAN_INTERVALS = 0.15
 # Plans lie at least so many report intervals apart: what comes between is planned together.
 PLAN_REPORTS = 1.0 / 20.0
 # Estimates run out while nothing happens: plan again at least every so many reports.
@@ -47,15 +47,15 @@
 
     def _plan_one(self, held: HeldBlock) -> None:
         held.dirty = False
-        decision = plan_block(held, self.core, self.registry, self.jobs.teams)
+        decision = plan_shard(held, self.core, self.registry, self.jobs.teams)
         held.booked = decision.starts
-        for stop in decision.stops:
-            held.commands.preempt(stop.host, stop.pieces)
+        for preemption in decision.stops:
+            held.commands.preempt(preemption.machine_id, preemption.task_ids)
         self._prompt_reports(held)
 
     def _space(self, took_s: float) -> None:
         report_s = self.core.report_s
-        wait_s = min(took_s * PLAN_SHARE, PLAN_REPORTS_MOST * report_s)
+        wait_s = min(took_s * PLAN_SHARE, MAX_PLAN_INTERVALS * report_s)
         wait_s = max(wait_s, took_s * PLAN_SHARE_LEAST, PLAN_REPORTS * report_s)
         self.ready_at = self.core.now + wait_s
         self._replan_at = self.core.now + REPLAN_REPORTS * report_s
@@ -63,7 +63,7 @@
     def _prompt_reports(self, held: HeldBlock) -> None:
         """Machines with new bookings are asked to report now instead of when it is their turn."""
         soon = self.core.now + PROMPT_REPORTS * self.core.report_s
-        for host in held.booked:
-            machine = held.machines.get(host)
-            if machine is not None and machine.heard_at + self.core.report_s > soon:
-                held.commands.prompt_report(machine)
+        for machine_id in held.booked:
+            machine = held.machines.get(machine_id)
+            if machine is not None and machine.last_heartbeat_at + self.core.report_s > soon:
+                held.commands.prompt_heartbeat(machine)
--- a/fallpulley/placement/preempt.py
+++ b/fallpulley/placement/preempt.py
@@ -11,83 +11,109 @@
 
 import msgspec
 
-from fallpulley.placement.plan import Need, Slot, Waiting, eligible
+from fallpulley.placement.plan import MachineSnapshot, PendingJob, Resources, eligible
 
 # Work thrown away for a task may be at most this share of what the task itself brings.
-LOSS_MOST = 0.5
+MAX_LOST_WORK = 0.5
 
 
 class Victim(msgspec.Struct):
     """A running task of lower rank, and the processor-seconds its stop would lose."""
 
-    piece: str
-    rank: int
-    need: Need
-    loss: float
+    task_id: str
+    priority_level: int
+    resources: Resources
+    lost_work: float
 
 
-class Stop(msgspec.Struct):
-    host: str
-    pieces: list[str]
+class Preemption(msgspec.Struct):
+    machine_id: str
+    task_ids: list[str]
 
 
 def choose_victims(
-    job: Waiting,
+    job: PendingJob,
     tasks: int,
-    slots: list[Slot],
-    room: dict[str, Need],
+    snapshots: list[MachineSnapshot],
+    room: dict[str, Resources],
     victims: dict[str, list[Victim]],
     now: float,
-) -> list[Stop]:
+) -> list[Preemption]:
     """Room for `tasks` tasks of the job, each where it costs least. Takes from what it is given:
     `room` and `victims` shrink by what was chosen."""
-    stops: dict[str, set[str]] = {}
-    most = LOSS_MOST * job.estimate_s * max(job.need[0], 1.0)
+    preemptions: dict[str, set[str]] = {}
+    most = MAX_LOST_WORK * job.estimated_run_s * max(job.resources[0], 1.0)
 
     def offer(number: int) -> tuple[float, int, list[Victim]] | None:
-        slot = slots[number]
-        found = _cheapest(job, room[slot.host], victims.get(slot.host, []))
+        snapshot = snapshots[number]
+        found = _cheapest(job, room[snapshot.machine_id], victims.get(snapshot.machine_id, []))
         if found is None or found[0] > most:
             return None
-        ready = slot.images.get(job.image)
-        fetch_s = job.image_gb / slot.fetch_rate if ready is None else max(0.0, ready - now)
-        return (found[0] + fetch_s * job.need[0], number, found[1])
+        ready = snapshot.images.get(job.image)
+        fetch_s = job.image_gb / snapshot.fetch_gb_per_s if ready is None else max(0.0, ready - now)
+        return (found[0] + fetch_s * job.resources[0], number, found[1])
 
-    allowed = [number for number, slot in enumerate(slots) if eligible(job, slot)]
+    allowed = [number for number, snapshot in enumerate(snapshots) if eligible(job, snapshot)]
     heap = [entry for number in allowed if (entry := offer(number))]
     heapq.heapify(heap)
     for _ in range(tasks):
         if not heap:
             break
         _, number, chosen = heapq.heappop(heap)
-        slot = slots[number]
-        free = room[slot.host]
+        snapshot = snapshots[number]
+        free = room[snapshot.machine_id]
         for victim in chosen:
-            free = (free[0] + victim.need[0], free[1] + victim.need[1], free[2] + victim.need[2])
-        room[slot.host] = (free[0] - job.need[0], free[1] - job.need[1], free[2] - job.need[2])
+            free = (
+                free[0] + victim.resources[0],
+                free[1] + victim.resources[1],
+                free[2] + victim.resources[2],
+            )
+        room[snapshot.machine_id] = (
+            free[0] - job.resources[0],
+            free[1] - job.resources[1],
+            free[2] - job.resources[2],
+        )
         if chosen:
-            gone = {victim.piece for victim in chosen}
-            victims[slot.host] = [v for v in victims[slot.host] if v.piece not in gone]
-            stops.setdefault(slot.host, set()).update(gone)
+            gone = {victim.task_id for victim in chosen}
+            victims[snapshot.machine_id] = [
+                v for v in victims[snapshot.machine_id] if v.task_id not in gone
+            ]
+            preemptions.setdefault(snapshot.machine_id, set()).update(gone)
         again = offer(number)
         if again is not None:
             heapq.heappush(heap, again)
-    return [Stop(host, sorted(pieces)) for host, pieces in stops.items()]
+    return [
+        Preemption(machine_id, sorted(task_ids)) for machine_id, task_ids in preemptions.items()
+    ]
 
 
-def _cheapest(job: Waiting, free: Need, victims: list[Victim]) -> tuple[float, list[Victim]] | None:
+def _cheapest(
+    job: PendingJob, free: Resources, victims: list[Victim]
+) -> tuple[float, list[Victim]] | None:
     """The victims to stop on one machine, least loss for the room first; none may be needed."""
     chosen: list[Victim] = []
     loss = 0.0
-    cpus, cards, mem = free
+    cpus, gpus, memory_gb = free
     for victim in victims:
-        if cpus >= job.need[0] - 1e-6 and cards >= job.need[1] - 1e-6 and mem >= job.need[2] - 1e-6:
+        if (
+            cpus >= job.resources[0] - 1e-6
+            and gpus >= job.resources[1] - 1e-6
+            and memory_gb >= job.resources[2] - 1e-6
+        ):
             break
-        if victim.rank >= job.rank:
+        if victim.priority_level >= job.priority_level:
             continue
         chosen.append(victim)
-        loss += victim.loss
-        cpus, cards, mem = cpus + victim.need[0], cards + victim.need[1], mem + victim.need[2]
-    if cpus < job.need[0] - 1e-6 or cards < job.need[1] - 1e-6 or mem < job.need[2] - 1e-6:
+        loss += victim.lost_work
+        cpus, gpus, memory_gb = (
+            cpus + victim.resources[0],
+            gpus + victim.resources[1],
+            memory_gb + victim.resources[2],
+        )
+    if (
+        cpus < job.resources[0] - 1e-6
+        or gpus < job.resources[1] - 1e-6
+        or memory_gb < job.resources[2] - 1e-6
+    ):
         return None
     return loss, chosen
--- a/fallpulley/placement/profile.py
+++ b/fallpulley/placement/profile.py
@@ -12,46 +12,46 @@
 class Profile:
     """Steps of free room: from `times[i]` until the next step, or for ever after the last."""
 
-    __slots__ = ("cards", "cpus", "mem", "times")
+    __slots__ = ("cpus", "gpus", "memory_gb", "times")
 
     def __init__(
         self,
         now: float,
         cpus: float,
-        cards: float,
-        mem: float,
+        gpus: float,
+        memory_gb: float,
         running: list[tuple[float, float, float, float]],
     ) -> None:
         """`running`: (end, cpus, cards, mem) of what occupies the machine now."""
         steps = sorted(running)
         for _, c, g, m in steps:
             cpus -= c
-            cards -= g
-            mem -= m
+            gpus -= g
+            memory_gb -= m
         self.times = [now]
         self.cpus = [cpus]
-        self.cards = [cards]
-        self.mem = [mem]
+        self.gpus = [gpus]
+        self.memory_gb = [memory_gb]
         for end, c, g, m in steps:
             cpus += c
-            cards += g
-            mem += m
+            gpus += g
+            memory_gb += m
             if end <= self.times[-1]:
                 if len(self.times) > 1:
-                    self.cpus[-1], self.cards[-1], self.mem[-1] = cpus, cards, mem
+                    self.cpus[-1], self.gpus[-1], self.memory_gb[-1] = cpus, gpus, memory_gb
                     continue
                 end = now + EPSILON  # room is not free before it is reported free
             self.times.append(end)
             self.cpus.append(cpus)
-            self.cards.append(cards)
-            self.mem.append(mem)
+            self.gpus.append(gpus)
+            self.memory_gb.append(memory_gb)
 
     def copy(self) -> Profile:
         other = Profile.__new__(Profile)
         other.times = self.times.copy()
         other.cpus = self.cpus.copy()
-        other.cards = self.cards.copy()
-        other.mem = self.mem.copy()
+        other.gpus = self.gpus.copy()
+        other.memory_gb = self.memory_gb.copy()
         return other
 
     def begin_at(self, now: float) -> None:
@@ -64,20 +64,20 @@
         """When the room now first changes."""
         return self.times[1] if len(self.times) > 1 else inf
 
-    def earliest(self, need: tuple[float, float, float], duration: float) -> float | None:
+    def earliest(self, resources: tuple[float, float, float], duration: float) -> float | None:
         """The first time from which `need` fits for `duration`; None: never."""
-        c, g, m = need[0] - EPSILON, need[1] - EPSILON, need[2] - EPSILON
-        times, cpus, cards, mem = self.times, self.cpus, self.cards, self.mem
+        c, g, m = resources[0] - EPSILON, resources[1] - EPSILON, resources[2] - EPSILON
+        times, cpus, gpus, memory_gb = self.times, self.cpus, self.gpus, self.memory_gb
         count = len(times)
         start = 0
         while start < count:
-            if cpus[start] < c or mem[start] < m or cards[start] < g:
+            if cpus[start] < c or memory_gb[start] < m or gpus[start] < g:
                 start += 1
                 continue
             end = times[start] + duration
             step = start + 1
             while step < count and times[step] < end:
-                if cpus[step] < c or mem[step] < m or cards[step] < g:
+                if cpus[step] < c or memory_gb[step] < m or gpus[step] < g:
                     break
                 step += 1
             else:
@@ -85,14 +85,14 @@
             start = step + 1
         return None
 
-    def book(self, start: float, duration: float, need: tuple[float, float, float]) -> None:
+    def book(self, start: float, duration: float, resources: tuple[float, float, float]) -> None:
         """Take `need` from `start` for `duration`."""
         first = self._cut(start)
         last = self._cut(start + duration)
         for step in range(first, last):
-            self.cpus[step] -= need[0]
-            self.cards[step] -= need[1]
-            self.mem[step] -= need[2]
+            self.cpus[step] -= resources[0]
+            self.gpus[step] -= resources[1]
+            self.memory_gb[step] -= resources[2]
 
     def _cut(self, at: float) -> int:
         """The index of the step that begins at `at`, made if there is none."""
@@ -103,13 +103,13 @@
             return step
         self.times.insert(step + 1, at)
         self.cpus.insert(step + 1, self.cpus[step])
-        self.cards.insert(step + 1, self.cards[step])
-        self.mem.insert(step + 1, self.mem[step])
+        self.gpus.insert(step + 1, self.gpus[step])
+        self.memory_gb.insert(step + 1, self.memory_gb[step])
         return step + 1
 
-    def room_now(self, need: tuple[float, float, float]) -> bool:
+    def fits_now(self, resources: tuple[float, float, float]) -> bool:
         return (
-            self.cpus[0] >= need[0] - EPSILON
-            and self.mem[0] >= need[2] - EPSILON
-            and self.cards[0] >= need[1] - EPSILON
+            self.cpus[0] >= resources[0] - EPSILON
+            and self.memory_gb[0] >= resources[2] - EPSILON
+            and self.gpus[0] >= resources[1] - EPSILON
         )
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -12,25 +12,25 @@
 from fallpulley.fleet.messages import MachineType
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open import OpenJob
-from fallpulley.placement.estimate import left_of
+from fallpulley.placement.estimate import remaining_run_time
 from fallpulley.placement.plan import (
-    URGENT_RANK,
+    URGENT_PRIORITY_LEVEL,
     Booking,
-    Kinds,
-    Need,
+    MachineShapes,
+    MachineSnapshot,
+    PendingJob,
     Plan,
-    Slot,
-    Waiting,
+    Resources,
+    count_shapes,
     eligible,
-    kinds_of,
     make_plan,
     queue_order,
     remaining_time,
 )
-from fallpulley.placement.preempt import Stop, Victim, choose_victims
+from fallpulley.placement.preempt import Preemption, Victim, choose_victims
 from fallpulley.settings import Team
-from fallpulley.workers.machine import Machine, size_of
-from fallpulley.workers.messages import ENDED, SAVING
+from fallpulley.workers.machine import Machine, capacity_of
+from fallpulley.workers.messages import TaskState
 
 # From a stop to the start in its place: a part of a report interval, and what a stopped task is
 # taken to need.
@@ -43,39 +43,45 @@
 # ones to the end of every backlog. Only for as much as so large a share of the fleet holds: where
 # more is late, going by age gives up the short jobs as well.
 LATE_SHARE = 0.6
-LATE_ROOM = 0.25
+MAX_LATE_WORK_SHARE = 0.25
 # Of the time within which a class's tasks should start, the share they may wait for room;
 # the rest is for the stop, the next check-in and the image.
 PATIENCE_SHARE = 0.25
 
 
-def slots_of(held: HeldBlock, types: dict[str, MachineType], now: float) -> list[Slot]:
+def machine_snapshots(
+    held: HeldBlock, machine_types: dict[str, MachineType], now: float
+) -> list[MachineSnapshot]:
     """The machines that may be given tasks now. A picture is made anew only when something
     changed on the machine or one of its tasks should have ended: hundreds of machines stay the
     same from one plan to the next."""
-    slots = []
+    snapshots = []
     estimates: dict[str, float] = {}
     for machine in held.machines.values():
-        if not machine.usable or not machine.used or now < machine.refuse_until:
+        if not machine.usable or not machine.marked_occupied or now < machine.refuses_tasks_until:
             continue
         if machine.draining:
             continue
-        slot = machine.slot
-        if slot is None or now >= slot.until:
-            kind = types.get(machine.entry.build)
-            if kind is None or any(
-                piece.stage != ENDED and name not in machine.runs
-                for name, piece in machine.pieces.items()
+        snapshot = machine.snapshot
+        if snapshot is None or now >= snapshot.valid_until:
+            machine_type = machine_types.get(machine.entry.machine_type)
+            if machine_type is None or any(
+                status.state != TaskState.EXITED and name not in machine.runs
+                for name, status in machine.tasks.items()
             ):
                 continue  # holds something whose size we do not know, until it is stopped
-            slot = machine.slot = _slot(held, machine, kind, estimates, now)
-        slots.append(slot)
-    return slots
+            snapshot = machine.snapshot = _snapshot(held, machine, machine_type, estimates, now)
+        snapshots.append(snapshot)
+    return snapshots
 
 
-def _slot(
-    held: HeldBlock, machine: Machine, kind: MachineType, estimates: dict[str, float], now: float
-) -> Slot:
+def _snapshot(
+    held: HeldBlock,
+    machine: Machine,
+    machine_type: MachineType,
+    estimates: dict[str, float],
+    now: float,
+) -> MachineSnapshot:
     """`estimates`: those of the jobs met in this plan so far; a job has tasks on many machines."""
     running = []
     slowness = machine.slowness
@@ -86,45 +92,45 @@
         images[image] = max(ready, now + 0.5)
         fetch_free = max(fetch_free, images[image])
     for run in machine.runs.values():
-        job = held.jobs.get(run.job)
+        job = held.jobs.get(run.job_id)
         if job is None:
-            estimate = run.estimate_s
+            estimate = run.estimated_run_s
         else:
-            known = estimates.get(run.job)
+            known = estimates.get(run.job_id)
             if known is None:
-                known = estimates[run.job] = held.estimate(job)
+                known = estimates[run.job_id] = held.estimate(job)
             estimate = known * slowness
-        if run.running_at is not None:
-            left = left_of(estimate, now - run.running_at)
+        if run.started_at is not None:
+            left = remaining_run_time(estimate, now - run.started_at)
         else:
             ready = images.get(job.spec.image, now) if job else now
             left = estimate + max(0.0, ready - now)
-        if run.stopping is not None and job is not None:
+        if run.stop_grace_s is not None and job is not None:
             left = min(left, job.spec.checkpoint_save_s + 1.0)
-        running.append((now + left, *run.need))
+        running.append((now + left, *run.resources))
         until = min(until, now + left)
-    return Slot(
-        machine.host,
-        kind.label,
+    return MachineSnapshot(
+        machine.machine_id,
+        machine_type.name,
         machine.entry.zone,
         machine.entry.spot,
-        size_of(kind),
-        max(kind.fetch_gb_per_s, 1e-3),
+        capacity_of(machine_type),
+        max(machine_type.fetch_gb_per_s, 1e-3),
         slowness,
         running,
         images,
         fetch_free,
-        until=until,
+        valid_until=until,
     )
 
 
-def waiting_of(
-    held: HeldBlock, core: Core, teams: dict[str, Team], slots: list[Slot]
-) -> list[Waiting]:
+def pending_jobs(
+    held: HeldBlock, core: Core, teams: dict[str, Team], snapshots: list[MachineSnapshot]
+) -> list[PendingJob]:
     """The jobs with tasks to place, in queue order, within their teams' limits."""
     now, wall_ms = core.now, core.wall * 1000
-    found: list[Waiting] = []
-    kinds = kinds_of(slots)
+    found: list[PendingJob] = []
+    shapes = count_shapes(snapshots)
     unclear: bool | None = None  # looked at only where a team has a limit
     for job in held.jobs.values():
         if job.cancelled or job.finished or now < job.retry_at or held.doubtful(job):
@@ -141,20 +147,22 @@
         tasks = job.waiting_count()
         if not tasks or job.gang_restarting:
             continue
-        entry = _waiting(held, core, job, tasks, kinds, wall_ms)
+        entry = _pending_job(held, core, job, tasks, shapes, wall_ms)
         first = first_tasks(job, core) - len(job.runs)
         if first > 0:
             # Without an end to it, shortest-first and the urgent queue would starve the rest.
-            first = min(first, tasks) if not entry.together else tasks
-            found.append(msgspec.structs.replace(entry, tasks=first, starved=True))
-            entry.tasks -= first
+            first = min(first, tasks) if not entry.all_at_once else tasks
+            found.append(msgspec.structs.replace(entry, task_count=first, starved=True))
+            entry.task_count -= first
             if job.spec.one_zone or job.spec.spread:
                 continue  # booked in two parts, each would keep its bond without the other
         found.append(entry)
-    _mark_late(found, held, core, LATE_ROOM * sum(slot.size[0] for slot in slots))
+    _mark_late_jobs_overdue(
+        found, held, core, MAX_LATE_WORK_SHARE * sum(snapshot.capacity[0] for snapshot in snapshots)
+    )
     found.sort(key=queue_order)
     _keep_limits(found, held, teams)
-    return [job for job in found if job.tasks]
+    return [job for job in found if job.task_count]
 
 
 def first_tasks(job: OpenJob, core: Core) -> int:
@@ -165,21 +173,21 @@
     return math.ceil(FIRST_SHARE * job.spec.task_count)
 
 
-def _waiting(
+def _pending_job(
     held: HeldBlock,
     core: Core,
     job: OpenJob,
     tasks: int,
-    kinds: Kinds,
+    shapes: MachineShapes,
     wall_ms: float,
-) -> Waiting:
+) -> PendingJob:
     spec = job.spec
     estimate = held.estimate(job)
     left = spec.task_count - job.completed_count
-    key = (left, kinds, round(estimate, 1))
+    key = (left, shapes, round(estimate, 1))
     if key != job.remaining_inputs:
         job.remaining_inputs = key
-        job.remaining_s = remaining_time(job.resources, estimate, left, kinds)
+        job.remaining_s = remaining_time(job.resources, estimate, left, shapes)
     job.update_deadline_risk(core.wall)
     waited = (wall_ms - job.ready_since_ms) / 1000
     avoid = job.failed_machines or None
@@ -188,14 +196,14 @@
     zone, zone_room = spec.zone, None
     if spec.one_zone and job.runs:
         run = next(iter(job.runs.values()))
-        zone = held.machines[run.host].entry.zone
+        zone = held.machines[run.machine_id].entry.zone
     if spec.spread:
         most = math.ceil(spec.task_count / 2)
         zone_room = dict.fromkeys((m.entry.zone for m in held.machines.values()), most)
         for run in job.runs.values():
-            at = held.machines[run.host].entry.zone
+            at = held.machines[run.machine_id].entry.zone
             zone_room[at] = zone_room.get(at, most) - 1
-    return Waiting(
+    return PendingJob(
         job.job_id,
         job.resources,
         estimate,
@@ -216,54 +224,56 @@
     )
 
 
-def _keep_limits(waiting: list[Waiting], held: HeldBlock, teams: dict[str, Team]) -> None:
+def _keep_limits(waiting: list[PendingJob], held: HeldBlock, teams: dict[str, Team]) -> None:
     """Cut the tasks of limited teams to what their limits leave, first jobs first."""
     left: dict[str, list[float]] = {}
     for entry in waiting:
-        job = held.jobs[entry.job]
+        job = held.jobs[entry.job_id]
         team = teams.get(job.spec.team)
         if team is None or not team.limited:
             continue
         if team.name not in left:
-            cpus, cards = held.usage(team.name)
+            cpus, gpus = held.usage(team.name)
             left[team.name] = [
                 team.cpus_max - cpus if team.cpus_max > 0 else math.inf,
-                team.gpus_max - cards if team.gpus_max > 0 else math.inf,
+                team.gpus_max - gpus if team.gpus_max > 0 else math.inf,
             ]
         rest = left[team.name]
-        count = entry.tasks
+        count = entry.task_count
         for at in (0, 1):
-            if entry.need[at] > 0 and rest[at] < math.inf:
-                count = min(count, max(0, int((rest[at] + 1e-6) / entry.need[at])))
-        if entry.together and count < entry.tasks:
+            if entry.resources[at] > 0 and rest[at] < math.inf:
+                count = min(count, max(0, int((rest[at] + 1e-6) / entry.resources[at])))
+        if entry.all_at_once and count < entry.task_count:
             count = 0
-        entry.tasks = count
-        rest[0] -= count * entry.need[0]
-        rest[1] -= count * entry.need[1]
+        entry.task_count = count
+        rest[0] -= count * entry.resources[0]
+        rest[1] -= count * entry.resources[1]
 
 
-class Decision(msgspec.Struct):
+class PlacementDecision(msgspec.Struct):
     """What a plan asks for: tasks to start, by machine, and tasks to stop for urgent ones."""
 
     starts: dict[str, list[Booking]]
-    stops: list[Stop]
+    stops: list[Preemption]
 
 
-def plan_block(held: HeldBlock, core: Core, registry: Registry, teams: dict[str, Team]) -> Decision:
-    slots = slots_of(held, registry.types, core.now)
-    waiting = waiting_of(held, core, teams, slots)
-    plan = make_plan(waiting, slots, core.now)
-    decision = Decision({}, [])
+def plan_shard(
+    held: HeldBlock, core: Core, registry: Registry, teams: dict[str, Team]
+) -> PlacementDecision:
+    snapshots = machine_snapshots(held, registry.machine_types, core.now)
+    waiting = pending_jobs(held, core, teams, snapshots)
+    plan = make_plan(waiting, snapshots, core.now)
+    decision = PlacementDecision({}, [])
     starting: dict[str, list[Booking]] = {}
     for booking in plan.starts:
-        starting.setdefault(booking.job, []).append(booking)
-        decision.starts.setdefault(booking.host, []).append(booking)
+        starting.setdefault(booking.job_id, []).append(booking)
+        decision.starts.setdefault(booking.machine_id, []).append(booking)
     for job, bookings in starting.items():
         for booking, index in zip(bookings, held.jobs[job].next_tasks(len(bookings)), strict=True):
-            booking.index = index
+            booking.task_index = index
     patience = _patience(core)
     if patience:
-        decision.stops = _stops_for(held, core, plan, waiting, slots, patience)
+        decision.stops = _preemptions(held, core, plan, waiting, snapshots, patience)
     return decision
 
 
@@ -272,26 +282,28 @@
     deadlines, made from their estimates, shortest-first serves more of them."""
     late: dict[str, float] = {}
     objectives = core.settings.facts.objectives
-    dated = {objective.jobclass for objective in objectives if objective.kind == "deadline"}
+    dated = {objective.job_class for objective in objectives if objective.kind == "deadline"}
     for objective in objectives:
-        if objective.kind == "wait" and objective.within_s and objective.jobclass not in dated:
+        if objective.kind == "wait" and objective.within_s and objective.job_class not in dated:
             wait_s = LATE_SHARE * objective.within_s
-            late[objective.jobclass] = max(late.get(objective.jobclass, wait_s), wait_s)
+            late[objective.job_class] = max(late.get(objective.job_class, wait_s), wait_s)
     return late
 
 
-def _mark_late(waiting: list[Waiting], held: HeldBlock, core: Core, room: float) -> None:
+def _mark_late_jobs_overdue(
+    waiting: list[PendingJob], held: HeldBlock, core: Core, room: float
+) -> None:
     """Jobs whose class's aim on starting is about to be missed count as past their age bound, the
     shortest first, as far as they fit into `room` processors."""
     bounds = _late_after(core)
     late = []
     for entry in waiting:
-        after = bounds.get(held.jobs[entry.job].spec.job_class)
-        waited = core.wall - entry.submitted
-        if after is not None and waited > after and entry.rank < URGENT_RANK:
+        after = bounds.get(held.jobs[entry.job_id].spec.job_class)
+        waited = core.wall - entry.submitted_at
+        if after is not None and waited > after and entry.priority_level < URGENT_PRIORITY_LEVEL:
             late.append(entry)
     for entry in sorted(late, key=queue_order):
-        room -= entry.tasks * entry.need[0]
+        room -= entry.task_count * entry.resources[0]
         if room < 0:
             return
         entry.overdue = True
@@ -303,98 +315,114 @@
     for objective in core.settings.facts.objectives:
         if objective.kind == "wait" and objective.within_s:
             wait_s = PATIENCE_SHARE * objective.within_s
-            patience[objective.jobclass] = min(patience.get(objective.jobclass, wait_s), wait_s)
+            patience[objective.job_class] = min(patience.get(objective.job_class, wait_s), wait_s)
     return patience
 
 
-def _stops_for(
+def _preemptions(
     held: HeldBlock,
     core: Core,
     plan: Plan,
-    waiting: list[Waiting],
-    slots: list[Slot],
+    waiting: list[PendingJob],
+    snapshots: list[MachineSnapshot],
     patience: dict[str, float],
-) -> list[Stop]:
+) -> list[Preemption]:
     """Stops for urgent tasks that would wait beyond what their class's aim allows."""
-    late: list[tuple[Waiting, int]] = []
+    late: list[tuple[PendingJob, int]] = []
     for entry in waiting:
-        job_class = held.jobs[entry.job].spec.job_class
-        if entry.rank < URGENT_RANK or job_class not in patience:
+        job_class = held.jobs[entry.job_id].spec.job_class
+        if entry.priority_level < URGENT_PRIORITY_LEVEL or job_class not in patience:
             continue
-        waited = core.wall - entry.submitted
+        waited = core.wall - entry.submitted_at
         # A stop takes effect with its machine's next report. Room that comes by then cannot be
         # had sooner: without this, a task that was late already had others stopped for it in
         # plan after plan while the first stops were still under way.
         soonest = STOP_REPORTS * core.report_s + STOP_S
         until = core.now + max(soonest, patience[job_class] - waited)
-        count = sum(1 for start in plan.later.get(entry.job, ()) if start > until)
+        count = sum(1 for start in plan.later.get(entry.job_id, ()) if start > until)
         if count:
             late.append((entry, count))
     if not late:
         return []
-    room: dict[str, Need] = {}
-    for slot in slots:
-        free = slot.profile
+    room: dict[str, Resources] = {}
+    for snapshot in snapshots:
+        free = snapshot.profile
         if free is not None:
-            room[slot.host] = (free.cpus[0], free.cards[0], free.mem[0])
+            room[snapshot.machine_id] = (free.cpus[0], free.gpus[0], free.memory_gb[0])
     for booking in plan.starts:
-        need, (cpus, cards, mem) = held.jobs[booking.job].resources, room[booking.host]
-        room[booking.host] = (cpus - need[0], cards - need[1], mem - need[2])
+        resources, (cpus, gpus, memory_gb) = (
+            held.jobs[booking.job_id].resources,
+            room[booking.machine_id],
+        )
+        room[booking.machine_id] = (
+            cpus - resources[0],
+            gpus - resources[1],
+            memory_gb - resources[2],
+        )
     # Only where one of the late jobs may run and something can make room for it: most of a fleet
     # may be closed to an urgent class, and the rest of it full of that class's own tasks.
     least = _least_demanding([entry for entry, _ in late])
-    rank = max(entry.rank for entry, _ in late)
+    priority_level = max(entry.priority_level for entry, _ in late)
     victims: dict[str, list[Victim]] = {}
-    offering: list[Slot] = []
-    for slot in slots:
-        if not any(eligible(entry, slot) for entry in least):
+    offering: list[MachineSnapshot] = []
+    for snapshot in snapshots:
+        if not any(eligible(entry, snapshot) for entry in least):
             continue
-        found = _victims(held, core, slot.host, rank)
-        if found or any(_fits(entry.need, room[slot.host]) for entry in least):
-            victims[slot.host] = found
-            offering.append(slot)
-    stops: list[Stop] = []
+        found = _victims(held, core, snapshot.machine_id, priority_level)
+        if found or any(_fits(entry.resources, room[snapshot.machine_id]) for entry in least):
+            victims[snapshot.machine_id] = found
+            offering.append(snapshot)
+    preemptions: list[Preemption] = []
     for entry, count in late:
         if not offering:
             break
-        stops += choose_victims(entry, count, offering, room, victims, core.now)
-    return stops
+        preemptions += choose_victims(entry, count, offering, room, victims, core.now)
+    return preemptions
 
 
-def _least_demanding(jobs: list[Waiting]) -> list[Waiting]:
+def _least_demanding(jobs: list[PendingJob]) -> list[PendingJob]:
     """Of jobs that may run on the same machines, those than which no other needs less: a machine
     with room for any has room for one of them. Hundreds of late jobs are of a few kinds; each of
     them compared with each of thousands of machines was half of a holder's time."""
-    kinds: dict[tuple[object, ...], list[Waiting]] = {}
-    for job in sorted(jobs, key=lambda job: job.need):
-        builds = None if job.builds is None else tuple(job.builds)
-        avoid = None if job.avoid is None else frozenset(job.avoid)
-        alike = kinds.setdefault((job.spot_ok, builds, job.zone, avoid), [])
-        if not any(_fits(other.need, job.need) for other in alike):
+    shapes: dict[tuple[object, ...], list[PendingJob]] = {}
+    for job in sorted(jobs, key=lambda job: job.resources):
+        machine_types = None if job.machine_types is None else tuple(job.machine_types)
+        avoid = None if job.avoided_machines is None else frozenset(job.avoided_machines)
+        alike = shapes.setdefault((job.allow_spot, machine_types, job.zone, avoid), [])
+        if not any(_fits(other.resources, job.resources) for other in alike):
             alike.append(job)
-    return [job for alike in kinds.values() for job in alike]
+    return [job for alike in shapes.values() for job in alike]
 
 
-def _fits(need: Need, room: Need) -> bool:
-    return need[0] <= room[0] + 1e-6 and need[1] <= room[1] + 1e-6 and need[2] <= room[2] + 1e-6
+def _fits(resources: Resources, room: Resources) -> bool:
+    return (
+        resources[0] <= room[0] + 1e-6
+        and resources[1] <= room[1] + 1e-6
+        and resources[2] <= room[2] + 1e-6
+    )
 
 
-def _victims(held: HeldBlock, core: Core, host: str, below: int) -> list[Victim]:
+def _victims(held: HeldBlock, core: Core, machine_id: str, below: int) -> list[Victim]:
     """The tasks of a lower rank on a machine, those whose stop loses least for their room first."""
     found = []
     now = core.now
-    for run in held.machines[host].runs.values():
-        job = held.jobs.get(run.job)
-        if job is None or run.stopping is not None or not run.seen or run.stage == SAVING:
+    for run in held.machines[machine_id].runs.values():
+        job = held.jobs.get(run.job_id)
+        if (
+            job is None
+            or run.stop_grace_s is not None
+            or not run.reported
+            or run.state == TaskState.SAVING
+        ):
             continue
         if job.priority_level >= below:
             continue
         if len(job.runs) <= first_tasks(job, core):
             continue  # it has waited for long enough
-        ran = now - run.running_at if run.running_at is not None else 0.0
+        ran = now - run.started_at if run.started_at is not None else 0.0
         if job.spec.checkpoint_interval_s > 0:
             ran = min(ran, 0.5 * job.spec.checkpoint_interval_s)
-        loss = max(ran, 0.1) * max(run.need[0], 0.1)
-        found.append(Victim(run.piece, job.priority_level, run.need, loss))
-    found.sort(key=lambda victim: victim.loss / max(victim.need[0], 0.1))
+        loss = max(ran, 0.1) * max(run.resources[0], 0.1)
+        found.append(Victim(run.task_id, job.priority_level, run.resources, loss))
+    found.sort(key=lambda victim: victim.lost_work / max(victim.resources[0], 0.1))
     return found
--- a/fallpulley/settings.py
+++ b/fallpulley/settings.py
@@ -60,9 +60,9 @@
         return self.cpus_max > 0 or self.gpus_max > 0
 
 
-class Objective(msgspec.Struct, frozen=True, rename={"jobclass": "class"}):
+class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
     kind: str
-    jobclass: str = ""
+    job_class: str = ""
     within_s: float | None = None
     share: float | None = None
     times: float | None = None
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -56,7 +56,7 @@
         self, wanted: dict[str, float], busy: set[str], fleet: float
     ) -> dict[str, float]:
         """A job lives in its block until it is done: without a machine there it never would be."""
-        least = max((kind.cpus for kind in self.registry.types.values()), default=0.0)
+        least = max((kind.cpus for kind in self.registry.machine_types.values()), default=0.0)
         short = {label for label in busy if label in wanted and wanted[label] < least}
         for label in sorted(short):
             richest = max(wanted, key=lambda name: wanted[name])
@@ -79,8 +79,10 @@
 
     def _sizes(self, label: str) -> set[float]:
         record, _ = self.registry.blocks[label]
-        types = self.registry.types
-        return {types[m.build].cpus for m in record.machines.values() if m.build in types}
+        types = self.registry.machine_types
+        return {
+            types[m.machine_type].cpus for m in record.machines.values() if m.machine_type in types
+        }
 
     # -- a held block ----------------------------------------------------------------------
 
@@ -88,14 +90,14 @@
         """Mark what is to leave, and let go of what has become empty."""
         own = [move for move in moves(found.actual, found.wanted) if move.giver == held.label]
         leaving = self._choose(held, own)
-        for host, machine in held.machines.items():
-            self._mark(held, machine, host in leaving)
+        for machine_id, machine in held.machines.items():
+            self._mark(held, machine, machine_id in leaving)
         self._bucket.refill(self.core.now)
         if leaving and self._bucket.tokens >= 1 and not self.writer.handing.get(held.label):
             self._move_empty(held, leaving)
 
     def _cpus(self, machine: Machine) -> float:
-        kind = self.registry.types.get(machine.entry.build)
+        kind = self.registry.machine_types.get(machine.entry.machine_type)
         return kind.cpus if kind is not None else 0.0
 
     def _choose(self, held: HeldBlock, own: list[Move]) -> dict[str, str]:
@@ -103,19 +105,19 @@
         least: idle, marked already, then with the least running."""
 
         def disturbed(machine: Machine) -> tuple[bool, bool, float]:
-            running = sum(run.need[0] for run in machine.runs.values())
+            running = sum(run.resources[0] for run in machine.runs.values())
             return (not machine.empty, not machine.draining, running)
 
         chosen: dict[str, str] = {}
         left = list(own)
         for machine in sorted(held.machines.values(), key=disturbed):
             cpus = self._cpus(machine)
-            if cpus <= 0 or machine.leaving or not machine.usable:
+            if cpus <= 0 or machine.leaving_shard or not machine.usable:
                 continue
             move = max(left, key=lambda m: m.lacking, default=None)
             if move is None or not move.improves(cpus):
                 continue
-            chosen[machine.host] = move.taker
+            chosen[machine.machine_id] = move.taker
             left = [_after(other, move.taker, cpus) for other in left]
         return chosen
 
@@ -123,23 +125,23 @@
         if machine.draining == leaves:
             return
         machine.draining = leaves
-        machine.slot = None
+        machine.snapshot = None
         held.dirty = True
         if leaves:
-            held.booked.pop(machine.host, None)
-        log.debug("machine draining=%s machine=%s block=%s", leaves, machine.host, held.label)
+            held.booked.pop(machine.machine_id, None)
+        log.debug("machine draining=%s machine=%s block=%s", leaves, machine.machine_id, held.label)
 
     def _move_empty(self, held: HeldBlock, leaving: dict[str, str]) -> None:
         moved = 0
-        for host, taker in leaving.items():
-            machine = held.machines[host]
+        for machine_id, taker in leaving.items():
+            machine = held.machines[machine_id]
             if not machine.empty:
                 continue
-            machine.leaving = True
-            held.marks_due[host] = None
-            held.booked.pop(host, None)
+            machine.leaving_shard = True
+            held.marks_due[machine_id] = None
+            held.booked.pop(machine_id, None)
             held.dirty = True
-            self.writer.hand_over(held.label, host, taker)
+            self.writer.hand_over(held.label, machine_id, taker)
             moved += 1
         if moved:
             self._bucket.tokens -= 1
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -127,61 +127,61 @@
 
     def request(self, request: OperatorRequest) -> None:
         """`GET /shares` and `POST /shares` on the mesh address."""
-        ticket = request.ticket
+        pending_response = request.ticket
         if request.method == "GET":
-            self.view.when_current(lambda ok: self._show(ticket, ok), self.core.now)
+            self.view.when_current(lambda ok: self._show(pending_response, ok), self.core.now)
         elif request.method == "POST":
-            self._set(ticket, request.body)
+            self._set(pending_response, request.body)
         else:
-            self.core.answer(ticket, 405)
+            self.core.answer(pending_response, 405)
 
-    def _show(self, ticket: Any, ok: bool) -> None:
+    def _show(self, pending_response: Any, ok: bool) -> None:
         """Also without a fresh look: the answer tells its age."""
-        self.core.answer(ticket, 200, msgspec.json.encode(self.answer()))
+        self.core.answer(pending_response, 200, msgspec.json.encode(self.answer()))
 
-    def _set(self, ticket: Any, body: bytes) -> None:
+    def _set(self, pending_response: Any, body: bytes) -> None:
         try:
             request = msgspec.json.decode(body, type=SetShares)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            self._refuse(ticket, 400, "malformed", str(error))
+            self._refuse(pending_response, 400, "malformed", str(error))
             return
 
         def current(ok: bool) -> None:
             if ok:
-                self._change(ticket, request)
+                self._change(pending_response, request)
             else:
-                self._unavailable(ticket)
+                self._unavailable(pending_response)
 
         self.view.when_current(current, self.core.now)
 
-    def _change(self, ticket: Any, request: SetShares) -> None:
+    def _change(self, pending_response: Any, request: SetShares) -> None:
         try:
             after = change(self.table, request, self._situation())
         except ConflictError as error:
-            self._refuse(ticket, 409, "conflict", str(error), error.revision)
+            self._refuse(pending_response, 409, "conflict", str(error), error.revision)
             return
         except RefusedError as error:
-            self._refuse(ticket, 422, "refused", str(error))
+            self._refuse(pending_response, 422, "refused", str(error))
             return
         if after is self.table:
-            self._show(ticket, True)  # carried out before, and its answer was lost
+            self._show(pending_response, True)  # carried out before, and its answer was lost
             return
-        self._write(ticket, request, after)
+        self._write(pending_response, request, after)
 
-    def _write(self, ticket: Any, request: SetShares, after: ShareTable) -> None:
+    def _write(self, pending_response: Any, request: SetShares, after: ShareTable) -> None:
         value = msgspec.json.encode(after)
         if len(value) > self.core.value_bytes:
-            self._refuse(ticket, 422, "refused", "too long for a record")
+            self._refuse(pending_response, 422, "refused", "too long for a record")
             return
 
         def written(status: int | None, ledger: int) -> None:
             if status in (200, 409, None):
                 # Looked at again whatever came: who was first is what the record says.
                 self.view.when_current(
-                    lambda ok: self._tell_outcome(ticket, request, ok), self.core.now
+                    lambda ok: self._tell_outcome(pending_response, request, ok), self.core.now
                 )
             else:
-                self._unavailable(ticket)
+                self._unavailable(pending_response)
 
         expires_at = self.core.now + WRITE_WAIT_S
         changes = [Change(SHARES, value)]
@@ -190,24 +190,29 @@
             Write(conditions, changes, written, RequestPriority.ACCEPT, expires_at=expires_at)
         )
 
-    def _tell_outcome(self, ticket: Any, request: SetShares, ok: bool) -> None:
+    def _tell_outcome(self, pending_response: Any, request: SetShares, ok: bool) -> None:
         if done_before(self.table, request.operation) is not None:
-            self._show(ticket, True)
+            self._show(pending_response, True)
         elif ok:
             reason = f"the shares have revision {self.table.revision}"
-            self._refuse(ticket, 409, "conflict", reason, self.table.revision)
+            self._refuse(pending_response, 409, "conflict", reason, self.table.revision)
         else:
-            self._unavailable(ticket)
+            self._unavailable(pending_response)
 
     def _refuse(
-        self, ticket: Any, status: int, error: str, reason: str, revision: int | None = None
+        self,
+        pending_response: Any,
+        status: int,
+        error: str,
+        reason: str,
+        revision: int | None = None,
     ) -> None:
         body = msgspec.json.encode(ErrorAnswer(error, reason, revision))
-        self.core.answer(ticket, status, body)
+        self.core.answer(pending_response, status, body)
 
-    def _unavailable(self, ticket: Any) -> None:
+    def _unavailable(self, pending_response: Any) -> None:
         body = msgspec.json.encode(ErrorAnswer("unavailable", "state service out of reach"))
-        self.core.answer(ticket, 503, body, RETRY_S)
+        self.core.answer(pending_response, 503, body, RETRY_S)
 
     # -- time ------------------------------------------------------------------------------
 
@@ -225,7 +230,7 @@
             self._follow_policy()
 
     def _ready(self) -> bool:
-        return bool(self.table.shares) and self.view.ready and bool(self.registry.types)
+        return bool(self.table.shares) and self.view.ready and bool(self.registry.machine_types)
 
     def _busy(self) -> set[str]:
         return {label for label, jobs in self.jobs.open_by_block.items() if jobs}
--- a/fallpulley/standby/replica.py
+++ b/fallpulley/standby/replica.py
@@ -27,7 +27,7 @@
     """A machine as its holder last knew it."""
 
     reachable: bool = False
-    used: bool = False
+    occupied: bool = False
     attempts: dict[str, int] = {}  # task -> attempt that is on it
     images: dict[str, float] = {}  # image -> GB, least recently used first
 
@@ -35,8 +35,8 @@
 class JobCopy(msgspec.Struct, array_like=True, frozen=True):
     """What completed tasks of a job took."""
 
-    observed: int
-    observed_s: float
+    observed_tasks: int
+    observed_run_s: float
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
@@ -78,14 +78,14 @@
 def _apply_one(state: Snapshot, entry: Entry) -> None:
     """Change a state that nobody else has yet."""
     if isinstance(entry, JobLearned):
-        state.jobs[entry.job] = JobCopy(entry.observed, entry.observed_s)
+        state.jobs[entry.job_id] = JobCopy(entry.observed_tasks, entry.observed_run_s)
     elif isinstance(entry, ClassLearned):
-        state.factors[entry.jobclass] = entry.factor
+        state.factors[entry.job_class] = entry.correction
     elif isinstance(entry, Released):
-        state.machines.pop(entry.host, None)
+        state.machines.pop(entry.machine_id, None)
     else:
-        machine = state.machines.get(entry.host, MachineCopy())
-        state.machines[entry.host] = _machine_after(machine, entry)
+        machine = state.machines.get(entry.machine_id, MachineCopy())
+        state.machines[entry.machine_id] = _machine_after(machine, entry)
 
 
 def _machine_after(
@@ -94,22 +94,22 @@
 ) -> MachineCopy:
     replace = msgspec.structs.replace
     if isinstance(entry, Started):
-        return replace(machine, attempts=machine.attempts | {entry.piece: entry.attempt})
+        return replace(machine, attempts=machine.attempts | {entry.task_id: entry.attempt})
     if isinstance(entry, Left):
         rest = {
-            piece: attempt
-            for piece, attempt in machine.attempts.items()
-            if (piece, attempt) != (entry.piece, entry.attempt)
+            task_id: attempt
+            for task_id, attempt in machine.attempts.items()
+            if (task_id, attempt) != (entry.task_id, entry.attempt)
         }
         return replace(machine, attempts=rest)
     if isinstance(entry, Marked):
-        return replace(machine, used=entry.used)
+        return replace(machine, occupied=entry.occupied)
     if isinstance(entry, Reachable):
         images = machine.images if entry.reachable else {}
         return replace(machine, reachable=entry.reachable, images=images)
     if isinstance(entry, Cached):
         older = {name: size for name, size in machine.images.items() if name != entry.image}
-        return replace(machine, images=older | {entry.image: entry.size_gb})
+        return replace(machine, images=older | {entry.image: entry.image_gb})
     return machine  # granted, or stopped: it is there until it has left
 
 
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -35,7 +35,7 @@
 )
 from fallpulley.standby.replica import JobCopy, MachineCopy, Snapshot
 from fallpulley.state.client import Bucket
-from fallpulley.workers.machine import Machine, Run
+from fallpulley.workers.machine import Machine, TaskRun
 
 # Entries in a message, and machines or jobs in a part of a snapshot: packed, some 10 KiB.
 BATCH_ENTRIES = 500
@@ -89,14 +89,14 @@
         self.entries.append(entry)
         self.last += 1
 
-    def task_started(self, run: Run) -> None:
-        self._append(Started(run.host, run.piece, run.attempt))
+    def task_started(self, run: TaskRun) -> None:
+        self._append(Started(run.machine_id, run.task_id, run.attempt))
 
-    def task_stopped(self, run: Run) -> None:
-        self._append(Stopped(run.host, run.piece, run.attempt))
+    def task_stopped(self, run: TaskRun) -> None:
+        self._append(Stopped(run.machine_id, run.task_id, run.attempt))
 
-    def task_left(self, run: Run, cause: str) -> None:
-        self._append(Left(run.host, run.piece, run.attempt, cause))
+    def task_left(self, run: TaskRun, cause: str) -> None:
+        self._append(Left(run.machine_id, run.task_id, run.attempt, cause))
 
     def run_time_learned(self, job: str, observed: int, observed_s: float) -> None:
         self._append(JobLearned(job, observed, round(observed_s, 2)))
@@ -104,20 +104,20 @@
     def class_learned(self, job_class: str, factor: float) -> None:
         self._append(ClassLearned(job_class, round(factor, 4)))
 
-    def machine_granted(self, host: str) -> None:
-        self._append(Granted(host))
+    def machine_granted(self, machine_id: str) -> None:
+        self._append(Granted(machine_id))
 
-    def machine_marked(self, host: str, used: bool) -> None:
-        self._append(Marked(host, used))
+    def machine_marked(self, machine_id: str, used: bool) -> None:
+        self._append(Marked(machine_id, used))
 
-    def machine_released(self, host: str) -> None:
-        self._append(Released(host))
+    def machine_released(self, machine_id: str) -> None:
+        self._append(Released(machine_id))
 
-    def machine_reachable(self, host: str, reachable: bool) -> None:
-        self._append(Reachable(host, reachable))
+    def machine_reachable(self, machine_id: str, reachable: bool) -> None:
+        self._append(Reachable(machine_id, reachable))
 
-    def image_cached(self, host: str, image: str, size_gb: float) -> None:
-        self._append(Cached(host, image, size_gb))
+    def image_cached(self, machine_id: str, image: str, size_gb: float) -> None:
+        self._append(Cached(machine_id, image, size_gb))
 
 
 class BlockStream:
@@ -260,7 +260,7 @@
 
 def snapshot_parts(held: HeldBlock) -> list[Snapshot]:
     """The state of a held block, in parts that fit a message."""
-    machines = [(host, _copy(machine)) for host, machine in held.machines.items()]
+    machines = [(machine_id, _copy(machine)) for machine_id, machine in held.machines.items()]
     jobs = [
         (name, JobCopy(job.observed_tasks, round(job.observed_run_s, 2)))
         for name, job in held.jobs.items()
@@ -275,5 +275,5 @@
 
 
 def _copy(machine: Machine) -> MachineCopy:
-    attempts = {run.piece: run.attempt for run in machine.runs.values()}
-    return MachineCopy(machine.up, machine.entry.used, attempts, dict(machine.images))
+    attempts = {run.task_id: run.attempt for run in machine.runs.values()}
+    return MachineCopy(machine.online, machine.entry.occupied, attempts, dict(machine.images))
--- a/fallpulley/standby/takeover.py
+++ b/fallpulley/standby/takeover.py
@@ -27,11 +27,11 @@
     held.corrections.restore(state.factors)
     for name, copy in state.jobs.items():
         job = held.jobs.get(name)
-        if job is not None and copy.observed >= 0 and copy.observed_s >= 0.0:
-            job.observed_tasks, job.observed_run_s = copy.observed, copy.observed_s
+        if job is not None and copy.observed_tasks >= 0 and copy.observed_run_s >= 0.0:
+            job.observed_tasks, job.observed_run_s = copy.observed_tasks, copy.observed_run_s
     expected = Expected({})
-    for host, machine in state.machines.items():
-        ours = held.machines.get(host)
+    for machine_id, machine in state.machines.items():
+        ours = held.machines.get(machine_id)
         if ours is None:
             continue  # it has left the block since, by the record
         ours.images.update(machine.images)
@@ -51,18 +51,18 @@
     """Machines that reported and hold tasks are asked first, silent ones last: each of those takes
     one of the few places for requests under way until it times out."""
 
-    def rank(host: str) -> tuple[bool, bool]:
-        copy = copies.get(host)
+    def rank(machine_id: str) -> tuple[bool, bool]:
+        copy = copies.get(machine_id)
         return (copy is None or not copy.reachable, copy is None or not copy.attempts)
 
-    return {host: held.machines[host] for host in sorted(held.machines, key=rank)}
+    return {machine_id: held.machines[machine_id] for machine_id in sorted(held.machines, key=rank)}
 
 
 def compare(held: HeldBlock, expected: Expected) -> None:
     """Once every machine has reported: how far the replica was from what they run."""
     expected.compared = True
-    found = {run.piece: run.attempt for run in held.runs() if run.attempt < held.first_attempt}
-    alike = sum(expected.attempts.get(piece) == attempt for piece, attempt in found.items())
+    found = {run.task_id: run.attempt for run in held.runs() if run.attempt < held.first_attempt}
+    alike = sum(expected.attempts.get(task_id) == attempt for task_id, attempt in found.items())
     log.info(
         "replica compared block=%s expected=%d found=%d alike=%d",
         held.label,
