--- a/fallpulley/blocks/attempts.py
+++ b/fallpulley/blocks/attempts.py
@@ -10,26 +10,28 @@
     """Counts up from the stamp of the takeover, and goes on from a newer one before the counter is
     used up: thousands of machines start a few million tasks within hours."""
 
-    def __init__(self, taken_stamp: int, bits: int = COUNTER_BITS) -> None:
+    def __init__(self, acquired_revision: int, bits: int = COUNTER_BITS) -> None:
         self._bits = bits
-        self._stamp = taken_stamp
+        self._mod_revision = acquired_revision
         self._counter = 0
-        self.made = 0
-        self.first = taken_stamp << bits  # attempts of this holder have this number or a higher one
+        self.issued = 0
+        self.first = (
+            acquired_revision << bits
+        )  # attempts of this holder have this number or a higher one
 
     @property
-    def wants_stamp(self) -> bool:
+    def needs_new_revision(self) -> bool:
         """The counter is half used: a newer stamp of the record is wanted."""
         return self._counter >= 1 << (self._bits - 1)
 
-    def next(self, newest_stamp: int) -> int | None:
+    def next(self, newest_revision: int) -> int | None:
         """A number not used before; `newest_stamp`: of the record, which is the holder's own.
         None where the counter is used up and the record has not changed since."""
-        if self.wants_stamp and newest_stamp > self._stamp:
-            self._stamp = newest_stamp
+        if self.needs_new_revision and newest_revision > self._mod_revision:
+            self._mod_revision = newest_revision
             self._counter = 0
         if self._counter + 1 >= 1 << self._bits:
             return None
         self._counter += 1
-        self.made += 1
-        return (self._stamp << self._bits) + self._counter
+        self.issued += 1
+        return (self._mod_revision << self._bits) + self._counter
--- a/fallpulley/blocks/balance.py
+++ b/fallpulley/blocks/balance.py
@@ -4,13 +4,13 @@
 
 import logging
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.blocks.leadership import Leadership
 from fallpulley.blocks.registry import Registry
 from fallpulley.blocks.session import SessionLease
 from fallpulley.blocks.shares import target_sizes
-from fallpulley.blocks.writer import BlockWriter
-from fallpulley.core import Core
+from fallpulley.blocks.writer import ShardWriter
+from fallpulley.core import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.service import JobService
 from fallpulley.mesh.peers import Peers
@@ -21,24 +21,24 @@
 UNHEARD_LEASES = 0.4
 # Of a block's machines, so many leave it at once for one below its target: one at a time, a block
 # of thousands took most of an hour to be shared out.
-MOVE_SHARE = 0.1
+MAX_MOVED_SHARE = 0.1
 
 
-class BlockBalance:
+class ShardBalancer:
     """Keeps blocks near their target sizes, and with holders that their machines reach."""
 
     def __init__(
         self,
-        core: Core,
+        context: ControllerContext,
         registry: Registry,
         session: SessionLease,
         leadership: Leadership,
-        writer: BlockWriter,
+        writer: ShardWriter,
         provider: MachineProvider,
         jobs: JobService,
         peers: Peers,
     ) -> None:
-        self.core = core
+        self.context = context
         self.registry = registry
         self.session = session
         self.leadership = leadership
@@ -47,57 +47,64 @@
         self.jobs = jobs
         self.peers = peers
 
-    def give_if_unheard(self, held: HeldBlock) -> None:
+    def hand_off_if_unheard(self, shard: Shard) -> None:
         """No machine reaches us any more, but the state service and a peer do: the peer may be
         heard by them, and if so in time for their leases."""
-        if self.core.now - held.heard_at < UNHEARD_LEASES * self.core.lease_s:
+        if self.context.now - shard.last_heartbeat_at < UNHEARD_LEASES * self.context.lease_s:
             return
-        if not self.session.live() or not any(m.online for m in held.machines.values()):
+        if not self.session.is_live() or not any(m.online for m in shard.machines.values()):
             return
         peers = sorted(
-            label
-            for label in self.registry.sessions
-            if label != self.core.label and self.peers.recent(label)
+            shard_id
+            for shard_id in self.registry.sessions
+            if shard_id != self.context.controller_id and self.peers.is_recent(shard_id)
         )
         if peers:
-            self.leadership.give(held.label, peers[held.token % len(peers)])
+            self.leadership.hand_off(shard.shard_id, peers[shard.fencing_token % len(peers)])
 
     def target_sizes(self) -> dict[str, int]:
         """How many machines each block should have; none where there is one block alone."""
-        blocks = self.registry.blocks
-        if len(blocks) < 2:
+        shards = self.registry.shards
+        if len(shards) < 2:
             return {}
-        work = {label: self.jobs.estimated_work(label) for label in blocks}
-        machines = sum(len(record.machines) for record, _ in blocks.values())
-        return target_sizes(work, machines, self.leadership.per_block)
+        work = {shard_id: self.jobs.estimated_work(shard_id) for shard_id in shards}
+        machines = sum(len(record.machines) for record, _ in shards.values())
+        return target_sizes(work, machines, self.leadership.machines_per_shard)
 
-    def hand_over(self, held_blocks: dict[str, HeldBlock]) -> None:
+    def rebalance(self, shards: dict[str, Shard]) -> None:
         """Give an idle machine to the block furthest below its target, while ours is above."""
         targets = self.provider.target_sizes
-        if not targets or not self.session.live():
+        if not targets or not self.session.is_live():
             return
-        sizes = {label: len(entry[0].machines) for label, entry in self.registry.blocks.items()}
-        for label, held in held_blocks.items():
-            short = {b: targets[b] - n for b, n in sizes.items() if b in targets and b != label}
-            to = max(short, key=lambda block: (short[block], block), default=None)
-            if label not in targets or to is None or short[to] < 1:
+        sizes = {
+            shard_id: len(entry[0].machines) for shard_id, entry in self.registry.shards.items()
+        }
+        for shard_id, shard in shards.items():
+            short = {b: targets[b] - n for b, n in sizes.items() if b in targets and b != shard_id}
+            to = max(short, key=lambda shard_id: (short[shard_id], shard_id), default=None)
+            if shard_id not in targets or to is None or short[to] < 1:
                 continue
-            if sizes[label] - targets[label] < 1 or self.writer.handing.get(label):
+            if sizes[shard_id] - targets[shard_id] < 1 or self.writer.moving.get(shard_id):
                 continue
-            most = max(1, int(MOVE_SHARE * sizes[label]))
-            self._hand_over_idle(held, to, min(most, short[to], sizes[label] - targets[label]))
+            most = max(1, int(MAX_MOVED_SHARE * sizes[shard_id]))
+            self._move_idle_machines(
+                shard, to, min(most, short[to], sizes[shard_id] - targets[shard_id])
+            )
 
-    def _hand_over_idle(self, held: HeldBlock, to: str, number: int) -> None:
-        idle = [m for m in held.machines.values() if m.usable and m.empty]
+    def _move_idle_machines(self, shard: Shard, to: str, number: int) -> None:
+        idle = [m for m in shard.machines.values() if m.usable and m.empty]
         # Spot machines first: jobs that may not use them go where the others are, and would find
         # these scattered over blocks, each with room that none of the others' jobs can have.
         idle.sort(key=lambda m: (m.entry.spot, m.idle_since or 0.0), reverse=True)
         for machine in idle[:number]:
             log.info(
-                "machine handed over machine=%s from=%s to=%s", machine.machine_id, held.label, to
+                "machine handed over machine=%s from=%s to=%s",
+                machine.machine_id,
+                shard.shard_id,
+                to,
             )
             machine.leaving_shard = True
-            held.marks_due[machine.machine_id] = None
-            held.booked.pop(machine.machine_id, None)
-            held.dirty = True
-            self.writer.hand_over(held.label, machine.machine_id, to)
+            shard.occupancy_due[machine.machine_id] = None
+            shard.bookings.pop(machine.machine_id, None)
+            shard.needs_replan = True
+            self.writer.move(shard.shard_id, machine.machine_id, to)
--- a/fallpulley/blocks/commands.py
+++ b/fallpulley/blocks/commands.py
@@ -23,28 +23,30 @@
 )
 
 if TYPE_CHECKING:
-    from fallpulley.blocks.held import HeldBlock
+    from fallpulley.blocks.held import Shard
 
 log = logging.getLogger(__name__)
 
 # A worker counts a higher token as a change once in half a lease.
-PROMPT_LEASES = 0.5
+PROMPT_INTERVAL_LEASES = 0.5
 
 
 class MachineCommands:
     """Starts, stops and clears tasks, with check-ins' replies or directly."""
 
-    def __init__(self, held: HeldBlock) -> None:
-        self.held = held
-        self.core = held.core
+    def __init__(self, shard: Shard) -> None:
+        self.shard = shard
+        self.context = shard.context
 
     def start(
         self, machine: Machine, job: OpenJob, booking: Booking, estimate_s: float
     ) -> TaskCommand | None:
         """The order that starts a booked task; None where no attempt may be made now."""
         if job.spec.kind != JobKind.GANG or not job.runs:
-            self.held.touch = self.held.touch or self.held.attempts.wants_stamp
-            attempt = self.held.attempts.next(self.held.token)
+            self.shard.needs_new_revision = (
+                self.shard.needs_new_revision or self.shard.attempt_numbers.needs_new_revision
+            )
+            attempt = self.shard.attempt_numbers.next(self.shard.fencing_token)
             if attempt is None:
                 return None
             job.gang_attempt = attempt
@@ -54,13 +56,13 @@
             booking.task_index,
             job.gang_attempt,
             machine.machine_id,
-            self.core.now,
+            self.context.now,
             estimate_s,
             job.resources,
         )
         job.runs[booking.task_index] = run
         machine.runs[run.task_id] = run
-        self.held.decisions.task_started(run)
+        self.shard.decisions.task_started(run)
         machine.start_unacknowledged = True
         machine.snapshot = None
         log.debug("task ordered task=%s machine=%s", run.task_id, machine.machine_id)
@@ -70,8 +72,8 @@
     def stop(self, run: TaskRun, grace_period_s: float) -> None:
         """Stop with the next orders, and directly now if the machine can be reached."""
         run.stop_grace_s = grace_period_s
-        self.held.decisions.task_stopped(run)
-        machine = self.held.machines.get(run.machine_id)
+        self.shard.decisions.task_stopped(run)
+        machine = self.shard.machines.get(run.machine_id)
         if machine is not None:
             machine.snapshot = None
         if machine is not None and run.reported and machine.entry.address:
@@ -81,13 +83,13 @@
 
     def preempt(self, machine_id: str, task_ids: list[str]) -> None:
         """Stop tasks at once to make room: what they did since their last save is lost."""
-        machine = self.held.machines[machine_id]
+        machine = self.shard.machines[machine_id]
         machine.snapshot = None
         commands = []
         for name in task_ids:
             run = machine.runs[name]
             run.stop_grace_s = 0.0
-            self.held.decisions.task_stopped(run)
+            self.shard.decisions.task_stopped(run)
             commands.append(TaskCommand(Operation.STOP, run.task_id, run.attempt, 0.0))
             log.info("task preempted task=%s machine=%s", run.task_id, machine_id)
         if machine.entry.address:
@@ -96,13 +98,13 @@
     def prompt_heartbeat(self, machine: Machine) -> None:
         """Make a machine with a booked task report now: a higher token counts as a change, but
         only once in half a lease."""
-        now = self.core.now
+        now = self.context.now
         if (
-            now < machine.prompted_at + PROMPT_LEASES * self.core.lease_s
+            now < machine.prompted_at + PROMPT_INTERVAL_LEASES * self.context.lease_s
             or not machine.entry.address
         ):
             return
-        if machine.advance_token(self.held.token):
+        if machine.advance_token(self.shard.fencing_token):
             machine.prompted_at = now
             self.send_direct(machine, [])
 
@@ -122,10 +124,10 @@
         message = msgspec.json.encode(
             DirectCommand(machine.fencing_token, machine.agent_epoch or 1, commands)
         )
-        self.core.call(machine.entry.address, "POST", "/do", message, 1.5, done)
+        self.context.call(machine.entry.address, "POST", "/do", message, 1.5, done)
 
     def _on_direct_response(self, machine: Machine, status: int | None, body: bytes) -> None:
-        if status not in (200, 409) or self.held.machines.get(machine.machine_id) is not machine:
+        if status not in (200, 409) or self.shard.machines.get(machine.machine_id) is not machine:
             return
         try:
             heartbeat = msgspec.json.decode(body, type=Heartbeat)
@@ -134,7 +136,7 @@
         if heartbeat.machine_id != machine.machine_id:
             return
         if status == 200:
-            self.held.intake.handle(machine, heartbeat, is_heartbeat=False)
+            self.shard.intake.handle(machine, heartbeat, is_heartbeat=False)
         elif not machine.fenced and heartbeat.agent_epoch > machine.agent_epoch:
             machine.agent_epoch = heartbeat.agent_epoch
             machine.next_fence_at = float("-inf")
@@ -145,7 +147,7 @@
         for name, status in machine.tasks.items():
             if status.state == TaskState.EXITED:
                 named = parse_task_id(name)
-                job = self.held.jobs.get(named[0]) if named else None
+                job = self.shard.jobs.get(named[0]) if named else None
                 if self._may_forget(job, named, status):
                     commands.append(TaskCommand(Operation.FORGET, name, status.attempt))
                 continue
--- a/fallpulley/blocks/decisions.py
+++ b/fallpulley/blocks/decisions.py
@@ -16,25 +16,25 @@
     def task_stopped(self, run: TaskRun) -> None:
         """An attempt was told to stop."""
 
-    def task_left(self, run: TaskRun, cause: str) -> None:
+    def task_gone(self, run: TaskRun, cause: str) -> None:
         """An attempt has ended, or is proved gone from its machine."""
 
     def run_time_learned(self, job: str, observed: int, observed_s: float) -> None:
         """A job's completed tasks and their summed run times."""
 
-    def class_learned(self, job_class: str, factor: float) -> None:
+    def class_correction_learned(self, job_class: str, factor: float) -> None:
         """A class's correction of its owners' estimates."""
 
     def machine_granted(self, machine_id: str) -> None:
         """The block's record has a new machine."""
 
-    def machine_marked(self, machine_id: str, used: bool) -> None:
+    def machine_occupancy_changed(self, machine_id: str, used: bool) -> None:
         """The record is to say whether the machine may hold tasks."""
 
     def machine_released(self, machine_id: str) -> None:
         """The machine has left the block."""
 
-    def machine_reachable(self, machine_id: str, reachable: bool) -> None:
+    def machine_reachability_changed(self, machine_id: str, reachable: bool) -> None:
         """The machine began to report, or fell silent."""
 
     def image_cached(self, machine_id: str, image: str, size_gb: float) -> None:
@@ -48,19 +48,19 @@
 
     def task_stopped(self, run: TaskRun) -> None: ...
 
-    def task_left(self, run: TaskRun, cause: str) -> None: ...
+    def task_gone(self, run: TaskRun, cause: str) -> None: ...
 
     def run_time_learned(self, job: str, observed: int, observed_s: float) -> None: ...
 
-    def class_learned(self, job_class: str, factor: float) -> None: ...
+    def class_correction_learned(self, job_class: str, factor: float) -> None: ...
 
     def machine_granted(self, machine_id: str) -> None: ...
 
-    def machine_marked(self, machine_id: str, used: bool) -> None: ...
+    def machine_occupancy_changed(self, machine_id: str, used: bool) -> None: ...
 
     def machine_released(self, machine_id: str) -> None: ...
 
-    def machine_reachable(self, machine_id: str, reachable: bool) -> None: ...
+    def machine_reachability_changed(self, machine_id: str, reachable: bool) -> None: ...
 
     def image_cached(self, machine_id: str, image: str, size_gb: float) -> None: ...
 
--- a/fallpulley/blocks/fencing.py
+++ b/fallpulley/blocks/fencing.py
@@ -9,7 +9,7 @@
 from fallpulley.workers.machine import Machine
 
 if TYPE_CHECKING:
-    from fallpulley.blocks.held import HeldBlock
+    from fallpulley.blocks.held import Shard
 
 # Of the machine's sockets, those that fences may take at once: a block of thousands of machines is
 # asked in bursts that leave sockets and time for everybody else.
@@ -22,27 +22,27 @@
 class Fencing:
     """Asks machines in turn: those that do not answer never keep others from being asked."""
 
-    def __init__(self, held: HeldBlock) -> None:
-        self.held = held
-        core = held.core
-        sockets = core.settings.facts.machine_limits.sockets
+    def __init__(self, shard: Shard) -> None:
+        self.shard = shard
+        context = shard.context
+        sockets = context.settings.facts.machine_limits.sockets
         self.max_in_flight = max(MIN_IN_FLIGHT, int(SOCKET_SHARE * sockets))
         self.in_flight = 0
         self._queue: deque[str] | None = None  # made when first needed, in asking order
 
     def tick(self, addresses: dict[str, str]) -> None:
         """Ask those whose turn it is, as far as sockets allow."""
-        held = self.held
+        shard = self.shard
         if self._queue is None:
             self._queue = deque(
-                machine_id for machine_id in held.machines if machine_id in held.unconfirmed
+                machine_id for machine_id in shard.machines if machine_id in shard.unreconciled
             )
         for _ in range(len(self._queue)):
             if self.in_flight >= self.max_in_flight:
                 return
             machine_id = self._queue.popleft()
-            machine = held.machines.get(machine_id)
-            if machine is None or machine_id not in held.unconfirmed or machine.fenced:
+            machine = shard.machines.get(machine_id)
+            if machine is None or machine_id not in shard.unreconciled or machine.fenced:
                 continue  # it has shown our token, or has left
             self._queue.append(machine_id)
             if not machine.entry.address and machine_id in addresses:
@@ -51,9 +51,9 @@
                 self._probe(machine)
 
     def _may_probe(self, machine: Machine) -> bool:
-        now = self.held.core.now
+        now = self.shard.context.now
         # One that was told our token with the answer to its own report shows it with the next.
-        told = now < machine.unfenced_heartbeat_at + self.held.core.report_s
+        told = now < machine.unfenced_heartbeat_at + self.shard.context.report_s
         return (
             bool(machine.entry.address)
             and not machine.fence_in_flight
@@ -63,7 +63,9 @@
 
     def _probe(self, machine: Machine) -> None:
         machine.fence_in_flight = True
-        machine.next_fence_at = self.held.core.now + RETRY_INTERVALS * self.held.core.report_s
+        machine.next_fence_at = (
+            self.shard.context.now + RETRY_INTERVALS * self.shard.context.report_s
+        )
         self.in_flight += 1
 
         def answered(status: int | None) -> None:
@@ -71,7 +73,7 @@
             machine.fence_in_flight = False
             machine.fence_failures += status not in (200, 409)
 
-        self.held.commands.send_direct(machine, [], answered)
+        self.shard.commands.send_direct(machine, [], answered)
 
 
 def _with_address(entry: MachineEntry, address: str) -> MachineEntry:
--- a/fallpulley/blocks/held.py
+++ b/fallpulley/blocks/held.py
@@ -15,9 +15,9 @@
 from fallpulley.blocks.decisions import IGNORED_DECISIONS, DecisionSink
 from fallpulley.blocks.fencing import Fencing
 from fallpulley.blocks.intake import HeartbeatIntake
-from fallpulley.blocks.messages import BlockRecord, MachineEntry
+from fallpulley.blocks.messages import MachineEntry, ShardRecord
 from fallpulley.blocks.silence import LeaseWatch
-from fallpulley.core import DRIFT, Core
+from fallpulley.core import CLOCK_DRIFT, ControllerContext
 from fallpulley.jobs.messages import JobKind, JobRecord
 from fallpulley.jobs.open import OpenJob
 from fallpulley.jobs.pipelines import DependencyNode
@@ -29,44 +29,53 @@
 log = logging.getLogger(__name__)
 
 # A machine on which so many different jobs failed, and that completed less, is faulty.
-FAULTY_JOBS = 3
+FAULTY_MACHINE_JOBS = 3
 # A service runs until it is cancelled; it is booked for so many worker leases at a time.
 SERVICE_LEASES = 60.0
 
 
-class HeldBlock:
-    def __init__(self, core: Core, label: str, record: BlockRecord, stamp: int, fresh: bool):
-        self.core = core
-        self.label = label
+class Shard:
+    def __init__(
+        self,
+        context: ControllerContext,
+        shard_id: str,
+        record: ShardRecord,
+        mod_revision: int,
+        fresh: bool,
+    ):
+        self.context = context
+        self.shard_id = shard_id
         self.record = record
-        self.token = stamp
-        self.taken_stamp = stamp
-        self.taken_at = core.now
+        self.fencing_token = mod_revision
+        self.acquired_revision = mod_revision
+        self.acquired_at = context.now
         # Earlier holders may answer their machines until their windows end; a machine that
         # cannot be reached is empty a lease later.
-        self.empty_at = core.now + core.window_s + core.lease_over_s
+        self.unreachable_empty_at = context.now + context.response_window_s + context.lease_expiry_s
         self.machines = {
-            machine_id: Machine(machine_id, entry, stamp, core.now)
+            machine_id: Machine(machine_id, entry, mod_revision, context.now)
             for machine_id, entry in record.machines.items()
         }
         # Machines that may hold tasks we do not know of.
-        self.unconfirmed = {
+        self.unreconciled = {
             machine_id for machine_id, entry in record.machines.items() if entry.occupied
         }
-        self.taken_over = not fresh
-        self.loaded = fresh  # progress values have been read
+        self.acquired_by_failover = not fresh
+        self.progress_loaded = fresh  # progress values have been read
         self.jobs: dict[str, OpenJob] = {}
-        self.booked: dict[str, list[Booking]] = {}
-        self.dirty = True
-        self.attempts = AttemptNumbers(stamp)
+        self.bookings: dict[str, list[Booking]] = {}
+        self.needs_replan = True
+        self.attempt_numbers = AttemptNumbers(mod_revision)
         self.fencing = Fencing(self)
-        self.leases = LeaseWatch()
+        self.lease_expiry = LeaseWatch()
         self.commands = MachineCommands(self)
         self.intake = HeartbeatIntake(self)
-        self.heard_at = float("-inf")  # when any machine last checked in
-        self.touch = False  # a newer stamp of the record is wanted, to raise tokens with
+        self.last_heartbeat_at = float("-inf")  # when any machine last checked in
+        self.needs_new_revision = (
+            False  # a newer stamp of the record is wanted, to raise tokens with
+        )
         # Machines whose marks in the record are to follow what they may hold now.
-        self.marks_due: dict[str, None] = dict.fromkeys(self.machines)
+        self.occupancy_due: dict[str, None] = dict.fromkeys(self.machines)
         self.unacknowledged: set[str] = set()  # machines that do not show that they hear us
         self.corrections = Corrections()
         self.decisions: DecisionSink = IGNORED_DECISIONS
@@ -74,27 +83,29 @@
     @property
     def first_attempt(self) -> int:
         """Attempts of this holder have this number or a higher one."""
-        return self.attempts.first
+        return self.attempt_numbers.first
 
     # -- jobs ------------------------------------------------------------------------------
 
-    def add_job(self, job: str, record: JobRecord, stamp: int, node: DependencyNode | None) -> None:
+    def add_job(
+        self, job: str, record: JobRecord, mod_revision: int, node: DependencyNode | None
+    ) -> None:
         """`node`: its place in a pipeline, if it has one."""
         if record.spec is None:
             return
-        self.jobs[job] = OpenJob(job, record, record.spec, stamp, node)
-        self.dirty = True
+        self.jobs[job] = OpenJob(job, record, record.spec, mod_revision, node)
+        self.needs_replan = True
 
-    def doubtful(self, job: OpenJob) -> bool:
+    def is_unreconciled(self, job: OpenJob) -> bool:
         """Tasks of this job may be running where we cannot see them."""
-        if not self.unconfirmed and self.loaded:
+        if not self.unreconciled and self.progress_loaded:
             return False
-        return job.mod_revision <= self.taken_stamp
+        return job.mod_revision <= self.acquired_revision
 
     def end_job(self, job: OpenJob, withdrawn: bool) -> None:
         """The record is final: nothing of the job may start or go on."""
         job.cancelled = True
-        self.dirty = True
+        self.needs_replan = True
         for run in list(job.runs.values()):
             self.commands.stop(run, 0.0)
         if not job.runs:
@@ -105,7 +116,7 @@
         for machine in self.machines.values():
             yield from machine.runs.values()
 
-    def usage(self, team: str) -> tuple[float, float]:
+    def team_usage(self, team: str) -> tuple[float, float]:
         """What a team's tasks use, counting all that are not proved gone."""
         cpus = gpus = 0.0
         for job in self.jobs.values():
@@ -114,7 +125,7 @@
                 gpus += job.resources[1] * len(job.runs)
         return cpus, gpus
 
-    def has_unaccounted_tasks(self) -> bool:
+    def has_unknown_tasks(self) -> bool:
         """A machine has tasks that no open job of ours accounts for: of a job that has ended,
         most likely, whose record no longer says what they take, or for whom."""
         return any(
@@ -123,23 +134,23 @@
             for name, status in machine.tasks.items()
         )
 
-    def estimate(self, job: OpenJob) -> float:
+    def estimate_run_s(self, job: OpenJob) -> float:
         if job.spec.kind == JobKind.SERVICE:
-            return SERVICE_LEASES * self.core.lease_s
+            return SERVICE_LEASES * self.context.lease_s
         corrected = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
         return run_estimate(corrected, job.observed_tasks, job.observed_run_s)
 
     # -- machines --------------------------------------------------------------------------
 
-    def update(self, record: BlockRecord, stamp: int) -> None:
+    def apply_record(self, record: ShardRecord, mod_revision: int) -> None:
         """A newer record of the block we hold: machines came or went."""
         self.record = record
-        self.token = stamp
-        self.touch = False
+        self.fencing_token = mod_revision
+        self.needs_new_revision = False
         for machine_id in sorted(self.machines.keys() - record.machines.keys()):
             machine = self.machines.pop(machine_id)
-            self.lose_runs(machine, "left")
-            self.unconfirmed.discard(machine_id)
+            self.drop_runs(machine, "left")
+            self.unreconciled.discard(machine_id)
             self.unacknowledged.discard(machine_id)
             self.decisions.machine_released(machine_id)
         if len(self.machines) < len(record.machines):
@@ -147,41 +158,46 @@
             for machine_id in [
                 machine_id for machine_id in record.machines if machine_id not in self.machines
             ]:
-                self._gain(machine_id, record.machines[machine_id])
+                self._add_machine(machine_id, record.machines[machine_id])
         for machine_id in self.unacknowledged:
             if self.machines[machine_id].fenced:
-                self.machines[machine_id].advance_token(stamp)
-        self.dirty = True
+                self.machines[machine_id].advance_token(mod_revision)
+        self.needs_replan = True
 
-    def _gain(self, machine_id: str, entry: MachineEntry) -> None:
-        self.machines[machine_id] = Machine(machine_id, entry, self.token, self.core.now)
-        self.marks_due[machine_id] = None
-        log.info("machine granted machine=%s block=%s term=%d", machine_id, self.label, self.token)
+    def _add_machine(self, machine_id: str, entry: MachineEntry) -> None:
+        self.machines[machine_id] = Machine(machine_id, entry, self.fencing_token, self.context.now)
+        self.occupancy_due[machine_id] = None
+        log.info(
+            "machine granted machine=%s block=%s term=%d",
+            machine_id,
+            self.shard_id,
+            self.fencing_token,
+        )
         self.decisions.machine_granted(machine_id)
 
-    def lose_runs(self, machine: Machine, why: str) -> None:
+    def drop_runs(self, machine: Machine, why: str) -> None:
         """The machine's tasks are proved gone."""
         if machine.runs:
             log.info(
                 "tasks gone machine=%s why=%s tasks=%d", machine.machine_id, why, len(machine.runs)
             )
         for run in list(machine.runs.values()):
-            self.lose_run(run)
+            self.drop_run(run)
         machine.runs.clear()
         machine.tasks = {}
         machine.reported_tasks = []
         machine.snapshot = None
-        self.dirty = True
-        self.marks_due[machine.machine_id] = None
+        self.needs_replan = True
+        self.occupancy_due[machine.machine_id] = None
 
-    def stop_broken(self) -> None:
+    def stop_broken_gangs(self) -> None:
         """What is left of an ensemble that lost a task makes room for all to start anew."""
         for job in self.jobs.values():
             if not job.gang_restarting:
                 continue
             if not job.runs:
                 job.gang_restarting = False
-                self.dirty = True
+                self.needs_replan = True
             for run in job.runs.values():
                 if run.stop_grace_s is None:
                     self.commands.stop(run, job.spec.checkpoint_save_s)
@@ -193,75 +209,77 @@
         service, still serve the rest. Its lease is over only if it ran out before our last look
         at the records (`fresh_at`), which showed the block as ours.
         """
-        until = min(self.core.now, fresh_at)
-        for machine_id in self.leases.due(until):
+        until = min(self.context.now, fresh_at)
+        for machine_id in self.lease_expiry.due(until):
             machine = self.machines.get(machine_id)
             if machine is None or not (machine.online or machine.runs):
                 continue
-            if until > self._lease_over_at(machine):
-                self._fall_silent(machine)
+            if until > self._lease_expires_at(machine):
+                self._on_lease_expired(machine)
             else:
                 self.watch_lease(machine)
-        if self.unconfirmed and until > self.empty_at:
+        if self.unreconciled and until > self.unreachable_empty_at:
             # Our own answers renew leases too, even of machines that have not reported since.
             empty = {
                 machine_id
-                for machine_id in self.unconfirmed
-                if until > self.machines[machine_id].last_response_at + self.core.lease_over_s
+                for machine_id in self.unreconciled
+                if until > self.machines[machine_id].last_response_at + self.context.lease_expiry_s
             }
             if empty:
-                log.info("machines proved empty block=%s n=%d", self.label, len(empty))
-                self.unconfirmed -= empty
-                self.dirty = True
+                log.info("machines proved empty block=%s n=%d", self.shard_id, len(empty))
+                self.unreconciled -= empty
+                self.needs_replan = True
 
-    def _lease_over_at(self, machine: Machine) -> float:
+    def _lease_expires_at(self, machine: Machine) -> float:
         # A check-in that is about to be answered counts as answered: its reply goes out
         # after this look, and renews the lease.
         last = max(machine.last_response_at, machine.last_heartbeat_at)
         if not machine.online:
             # Its tasks are known from answers of `/do` alone, which renew no lease; a former
             # holder's answers may have.
-            return max(last + self.core.lease_over_s, self.empty_at)
-        return last + self.core.lease_over_s
+            return max(last + self.context.lease_expiry_s, self.unreachable_empty_at)
+        return last + self.context.lease_expiry_s
 
     def watch_lease(self, machine: Machine) -> None:
         """Look at the machine again once its lease may be over."""
         if machine.online or machine.runs:
-            self.leases.watch(machine.machine_id, self._lease_over_at(machine))
+            self.lease_expiry.watch(machine.machine_id, self._lease_expires_at(machine))
 
-    def _fall_silent(self, machine: Machine) -> None:
+    def _on_lease_expired(self, machine: Machine) -> None:
         log.info("machine silent machine=%s", machine.machine_id)
         machine.online = False
         machine.images.clear()
-        self.decisions.machine_reachable(machine.machine_id, False)
-        self.lose_runs(machine, "lease")
+        self.decisions.machine_reachability_changed(machine.machine_id, False)
+        self.drop_runs(machine, "lease")
 
-    def confirm_empty(self, machine_id: str) -> None:
+    def confirm_gone(self, machine_id: str) -> None:
         """The cloud has confirmed that the machine is gone."""
-        if machine_id in self.unconfirmed:
-            log.info("machine proved gone machine=%s block=%s", machine_id, self.label)
-            self.unconfirmed.discard(machine_id)
-            self.dirty = True
+        if machine_id in self.unreconciled:
+            log.info("machine proved gone machine=%s block=%s", machine_id, self.shard_id)
+            self.unreconciled.discard(machine_id)
+            self.needs_replan = True
 
-    def formers_silent(self) -> bool:
+    def previous_owners_expired(self) -> bool:
         """The answer window of every earlier holder is over."""
-        return self.core.now > self.taken_at + self.core.window_s * DRIFT
+        return self.context.now > self.acquired_at + self.context.response_window_s * CLOCK_DRIFT
 
-    def old_holders_ended(self) -> None:
+    def on_previous_owners_ended(self) -> None:
         """The earlier holders' processes are gone: they answer nobody from now on."""
-        self.empty_at = min(self.empty_at, self.core.now + self.core.lease_over_s)
-        self.leases.clear()
+        self.unreachable_empty_at = min(
+            self.unreachable_empty_at, self.context.now + self.context.lease_expiry_s
+        )
+        self.lease_expiry.clear()
         for machine in self.machines.values():
             self.watch_lease(machine)
 
-    def lose_run(self, run: TaskRun) -> None:
+    def drop_run(self, run: TaskRun) -> None:
         """An attempt is proved gone: its task is to be started again."""
         job = self.jobs.get(run.job_id)
         if job is None or job.runs.get(run.task_index) is not run:
             return
         del job.runs[run.task_index]
-        self.decisions.task_left(run, "gone")
+        self.decisions.task_gone(run, "gone")
         job.requeue(run.task_index)
-        self.dirty = True
+        self.needs_replan = True
         if job.cancelled and not job.runs:
             self.jobs.pop(job.job_id, None)
--- a/fallpulley/blocks/intake.py
+++ b/fallpulley/blocks/intake.py
@@ -11,7 +11,7 @@
 from fallpulley.workers.messages import START_REFUSALS, ExitReason, Heartbeat, TaskState, TaskStatus
 
 if TYPE_CHECKING:
-    from fallpulley.blocks.held import HeldBlock
+    from fallpulley.blocks.held import Shard
 
 log = logging.getLogger(__name__)
 
@@ -19,19 +19,19 @@
 class HeartbeatIntake:
     """Takes reports in, from check-ins and from answers to direct commands."""
 
-    def __init__(self, held: HeldBlock) -> None:
-        self.held = held
-        self.core = held.core
+    def __init__(self, shard: Shard) -> None:
+        self.shard = shard
+        self.context = shard.context
 
     def handle(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
         """Take in a report; False when it is not newer than what we know."""
         newer = self._apply(machine, heartbeat, is_heartbeat)
         if newer:
-            self.held.watch_lease(machine)
+            self.shard.watch_lease(machine)
         return newer
 
     def _apply(self, machine: Machine, heartbeat: Heartbeat, is_heartbeat: bool) -> bool:
-        now = self.core.now
+        now = self.context.now
         if not machine.is_newer(heartbeat):
             return False
         if machine.is_unchanged(heartbeat):
@@ -45,7 +45,7 @@
             # Perhaps a late copy from before we had it: this renews nothing and proves nothing.
             machine.agent_epoch, machine.sequence = heartbeat.agent_epoch, heartbeat.sequence
             machine.unfenced_heartbeat_at = now
-            self.held.marks_due[machine.machine_id] = None
+            self.shard.occupancy_due[machine.machine_id] = None
             return True
         outcome = apply_heartbeat(machine, heartbeat, now, is_heartbeat)
         if is_heartbeat:
@@ -53,14 +53,18 @@
         if outcome.start_missed and machine.unacknowledged_since is None:
             self._mark_unacknowledged(machine)
         self._apply_outcome(machine, outcome)
-        if self.held.unconfirmed and machine.machine_id in self.held.unconfirmed:
-            self.held.unconfirmed.discard(machine.machine_id)
-            if not self.held.unconfirmed:
-                log.info("block confirmed block=%s term=%d", self.held.label, self.held.token)
-            self.held.dirty = True
+        if self.shard.unreconciled and machine.machine_id in self.shard.unreconciled:
+            self.shard.unreconciled.discard(machine.machine_id)
+            if not self.shard.unreconciled:
+                log.info(
+                    "block confirmed block=%s term=%d",
+                    self.shard.shard_id,
+                    self.shard.fencing_token,
+                )
+            self.shard.needs_replan = True
         if machine.usable != was_usable:
-            self.held.dirty = True
-            self.held.marks_due[machine.machine_id] = None
+            self.shard.needs_replan = True
+            self.shard.occupancy_due[machine.machine_id] = None
         if machine.preempted_at is not None:
             self._drain_for_preemption(machine)
         return True
@@ -70,53 +74,53 @@
         if heartbeat.fencing_token >= machine.fencing_token:
             if not machine.fenced:
                 machine.fenced = True
-                self.held.dirty = True
+                self.shard.needs_replan = True
             if machine.unacknowledged_since is not None:
                 machine.unacknowledged_since = None
-                self.held.unacknowledged.discard(machine.machine_id)
-                self.held.dirty = True
+                self.shard.unacknowledged.discard(machine.machine_id)
+                self.shard.needs_replan = True
         elif not machine.fenced and machine.unacknowledged_since is None:
-            machine.unacknowledged_since = self.core.now
-            self.held.unacknowledged.add(machine.machine_id)
+            machine.unacknowledged_since = self.context.now
+            self.shard.unacknowledged.add(machine.machine_id)
 
     def _mark_unacknowledged(self, machine: Machine) -> None:
         """Its reports come, but an order of ours did not take. Reports alone prove neither that
         it hears us nor that its lease goes on: it gets no task until it reports with a token
         that it can have from us alone."""
         log.info("machine hears nothing machine=%s", machine.machine_id)
-        machine.unacknowledged_since = self.core.now
-        self.held.unacknowledged.add(machine.machine_id)
-        self.held.dirty = True
-        if not machine.advance_token(self.held.token):
-            self.held.touch = True
+        machine.unacknowledged_since = self.context.now
+        self.shard.unacknowledged.add(machine.machine_id)
+        self.shard.needs_replan = True
+        if not machine.advance_token(self.shard.fencing_token):
+            self.shard.needs_new_revision = True
 
     def _mark_online(self, machine: Machine, is_heartbeat: bool) -> None:
         if is_heartbeat:
             if not machine.online:
-                self.held.dirty = True
-                self.held.marks_due[machine.machine_id] = None
+                self.shard.needs_replan = True
+                self.shard.occupancy_due[machine.machine_id] = None
                 log.info("machine up machine=%s shift=%d", machine.machine_id, machine.agent_epoch)
-                self.held.decisions.machine_reachable(machine.machine_id, True)
+                self.shard.decisions.machine_reachability_changed(machine.machine_id, True)
             machine.online = machine.ever_online = True
-            machine.last_heartbeat_at = self.held.heard_at = self.core.now
+            machine.last_heartbeat_at = self.shard.last_heartbeat_at = self.context.now
 
     def _apply_outcome(self, machine: Machine, outcome: HeartbeatChanges) -> None:
-        now = self.core.now
+        now = self.context.now
         for run in outcome.vanished:
-            self.held.lose_run(run)
+            self.shard.drop_run(run)
             if run.reported:
                 log.info("task vanished task=%s machine=%s", run.task_id, run.machine_id)
         for ended, status in outcome.exited:
             self._on_exited(machine, ended, status)
         for run in outcome.started:
-            job = self.held.jobs.get(run.job_id)
+            job = self.shard.jobs.get(run.job_id)
             if job is not None:
                 machine.fetching.pop(job.spec.image, None)
             log.debug("task began task=%s machine=%s", run.task_id, run.machine_id)
         for status in outcome.unknown_tasks:
             self._on_unknown_task(machine, status)
         if outcome.vanished or outcome.exited:
-            self.held.dirty = True
+            self.shard.needs_replan = True
         if machine.empty:
             if machine.idle_since is None:
                 machine.idle_since = now
@@ -125,14 +129,14 @@
 
     def _on_exited(self, machine: Machine, run: TaskRun | None, status: TaskStatus) -> None:
         named = parse_task_id(status.task_id)
-        job = self.held.jobs.get(named[0]) if named else None
+        job = self.shard.jobs.get(named[0]) if named else None
         if named is None or job is None:
             return
         if run is not None:
             job.runs.pop(run.task_index, None)
-            self.held.decisions.task_left(run, status.exit_reason or "")
+            self.shard.decisions.task_gone(run, status.exit_reason or "")
         if status.exit_reason == ExitReason.DONE:
-            if job.mark_completed(named[1], self.core.now):
+            if job.mark_completed(named[1], self.context.now):
                 log.debug("task done task=%s machine=%s", status.task_id, machine.machine_id)
                 self._record_run_time(machine, job, run)
         elif run is not None:
@@ -144,31 +148,33 @@
             )
             job.requeue(run.task_index)
             if status.exit_reason == ExitReason.ERROR:
-                job.record_failure(machine.machine_id, self.core.now, self.core.lease_s)
+                job.record_failure(machine.machine_id, self.context.now, self.context.lease_s)
                 machine.failed_jobs.add(job.job_id)
             elif status.exit_reason in START_REFUSALS:
-                machine.refuses_tasks_until = self.core.now + self.core.report_s
+                machine.refuses_tasks_until = self.context.now + self.context.report_s
         if job.cancelled and not job.runs:
-            self.held.jobs.pop(job.job_id, None)
+            self.shard.jobs.pop(job.job_id, None)
 
     def _record_run_time(self, machine: Machine, job: OpenJob, run: TaskRun | None) -> None:
         machine.completed_tasks += 1
         if run is None or run.started_at is None or job.spec.kind == JobKind.SERVICE:
             return
-        took = max(0.1, self.core.now - run.started_at)
-        expected = self.held.estimate(job)
+        took = max(0.1, self.context.now - run.started_at)
+        expected = self.shard.estimate_run_s(job)
         machine.record_run_time_ratio(took / expected)
         job.observed_tasks += 1
         job.observed_run_s += took
         job_class = job.spec.job_class
-        self.held.corrections.learn(job_class, job.spec.estimated_run_s, took)
-        self.held.decisions.run_time_learned(job.job_id, job.observed_tasks, job.observed_run_s)
-        self.held.decisions.class_learned(job_class, self.held.corrections.factor(job_class))
+        self.shard.corrections.learn(job_class, job.spec.estimated_run_s, took)
+        self.shard.decisions.run_time_learned(job.job_id, job.observed_tasks, job.observed_run_s)
+        self.shard.decisions.class_correction_learned(
+            job_class, self.shard.corrections.factor(job_class)
+        )
 
     def _on_unknown_task(self, machine: Machine, status: TaskStatus) -> None:
         """A task on the machine that we did not start in this life: keep it or stop it."""
         named = parse_task_id(status.task_id)
-        job = self.held.jobs.get(named[0]) if named else None
+        job = self.shard.jobs.get(named[0]) if named else None
         if (
             named is None
             or job is None
@@ -184,30 +190,30 @@
             named[1],
             status.attempt,
             machine.machine_id,
-            self.core.now,
-            self.held.estimate(job),
+            self.context.now,
+            self.shard.estimate_run_s(job),
             job.resources,
             reported=True,
             state=status.state,
-            started_at=self.core.now if status.state == TaskState.RUNNING else None,
+            started_at=self.context.now if status.state == TaskState.RUNNING else None,
         )
         job.runs[run.task_index] = run
         machine.runs[run.task_id] = run
-        self.held.decisions.task_started(run)
-        self.held.dirty = True
+        self.shard.decisions.task_started(run)
+        self.shard.needs_replan = True
         log.info("task adopted task=%s machine=%s", run.task_id, machine.machine_id)
 
     def _drain_for_preemption(self, machine: Machine) -> None:
         """The cloud takes the machine: tasks that cannot finish leave it while they can save."""
-        left = (machine.preempted_at or 0.0) - self.core.now
+        left = (machine.preempted_at or 0.0) - self.context.now
         for run in machine.runs.values():
-            job = self.held.jobs.get(run.job_id)
+            job = self.shard.jobs.get(run.job_id)
             if job is None or run.stop_grace_s is not None:
                 continue
-            spent = self.core.now - (run.started_at or self.core.now)
+            spent = self.context.now - (run.started_at or self.context.now)
             if run.started_at is not None and run.estimated_run_s - spent < left - 1.0:
                 continue
             saves = job.spec.checkpoint_interval_s > 0
-            if saves and left > job.spec.checkpoint_save_s + 2 * self.core.report_s:
+            if saves and left > job.spec.checkpoint_save_s + 2 * self.context.report_s:
                 continue  # there is time for more work before saving
-            self.held.commands.stop(run, left if saves else 0.0)
+            self.shard.commands.stop(run, left if saves else 0.0)
--- a/fallpulley/blocks/layout.py
+++ b/fallpulley/blocks/layout.py
@@ -10,40 +10,40 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import BlockRecord, Part, encode_part
+from fallpulley.blocks.messages import MachinePage, ShardRecord, encode_page
 from fallpulley.blocks.packing import MachineEntry, Machines, without_addresses
-from fallpulley.blocks.registry import BLOCKS, part_key
-from fallpulley.state.client import TXN_BYTES, Change
+from fallpulley.blocks.registry import SHARD_PREFIX, page_key
+from fallpulley.state.client import MAX_TRANSACTION_BYTES, Change
 
 # A record with more machines is laid out in parts: every controller decodes all of a value at each
 # of its changes, which takes 2 ms of a whole core for as many, and 20 ms on a tenth of one.
-WHOLE_MOST = 1024
+MAX_SINGLE_VALUE_MACHINES = 1024
 # Machines in one part at the most.
-PART_MOST = 512
+MAX_PAGE_MACHINES = 512
 # A block with no more machines than this has them in its record again.
-MERGE_MOST = 256
+MAX_MERGED_MACHINES = 256
 
 
 class RecordLimits(msgspec.Struct, frozen=True):
     """What values may be."""
 
-    newer: bool  # of format 2 at the least
-    parts: bool  # of format 3
+    compact: bool  # of format 2 at the least
+    paged: bool  # of format 3
     value_bytes: int
-    changes: int  # in one transaction, the record's own among them
+    max_changes: int  # in one transaction, the record's own among them
 
 
-class Wishes(msgspec.Struct):
+class ShardChange(msgspec.Struct):
     """What is to become of a block's machines."""
 
     add: Machines = {}
     remove: list[str] = []
-    marks: dict[str, bool] = {}
+    occupancy: dict[str, bool] = {}
     # Learned from lists and reports: a successor fences the machines directly.
     addresses: Mapping[str, str] = {}
 
 
-class Edit(msgspec.Struct):
+class RecordUpdate(msgspec.Struct):
     """The values to write, the record's own first, and which wishes they grant."""
 
     changes: list[Change]
@@ -57,197 +57,211 @@
         return sum(len(change.value or b"") for change in self.changes)
 
 
-def edit_record(
-    label: str, record: BlockRecord, stamp: int, wishes: Wishes, limits: RecordLimits
-) -> Edit:
+def update_record(
+    shard_id: str, record: ShardRecord, mod_revision: int, change: ShardChange, limits: RecordLimits
+) -> RecordUpdate:
     """Lay out as many of the wishes as one transaction holds; the rest is for a later one."""
-    if record.parts:
-        return _PartsEdit(label, record, stamp, wishes, limits).edit()
-    if limits.parts and len(record.machines) > WHOLE_MOST:
-        return _split(label, record, stamp, limits)
-    return _edit_whole(label, record, stamp, wishes, limits)
+    if record.pages:
+        return _PagedUpdate(shard_id, record, mod_revision, change, limits).build()
+    if limits.paged and len(record.machines) > MAX_SINGLE_VALUE_MACHINES:
+        return _split_into_pages(shard_id, record, mod_revision, limits)
+    return _update_single_value(shard_id, record, mod_revision, change, limits)
 
 
-def _edit_whole(
-    label: str, record: BlockRecord, stamp: int, wishes: Wishes, limits: RecordLimits
-) -> Edit:
-    gone = set(wishes.remove)
+def _update_single_value(
+    shard_id: str, record: ShardRecord, mod_revision: int, change: ShardChange, limits: RecordLimits
+) -> RecordUpdate:
+    gone = set(change.remove)
     machines = {
         machine_id: entry for machine_id, entry in record.machines.items() if machine_id not in gone
     }
-    added = list(wishes.add)
-    if limits.parts:
+    added = list(change.add)
+    if limits.paged:
         # One more than a whole record is to hold, and the next change lays it out in parts.
-        del added[max(0, WHOLE_MOST + 1 - len(machines)) :]
-    machines.update((machine_id, wishes.add[machine_id]) for machine_id in added)
-    update_entries(machines, wishes)
-    value = _whole(record, machines, limits)
-    if len(value) > limits.value_bytes and limits.parts and record.machines:
-        return _split(label, record, stamp, limits)
+        del added[max(0, MAX_SINGLE_VALUE_MACHINES + 1 - len(machines)) :]
+    machines.update((machine_id, change.add[machine_id]) for machine_id in added)
+    update_entries(machines, change)
+    value = _encode_single_value(record, machines, limits)
+    if len(value) > limits.value_bytes and limits.paged and record.machines:
+        return _split_into_pages(shard_id, record, mod_revision, limits)
     while len(value) > limits.value_bytes and added:
         # A record that no value holds could never be written again: what came last is left
         # to the next list, which grants it to a block with room.
         for machine_id in added[len(added) // 2 :]:
             machines.pop(machine_id, None)
         del added[len(added) // 2 :]
-        value = _whole(record, machines, limits)
-    return Edit([Change(BLOCKS + label, value)], added, list(wishes.remove))
+        value = _encode_single_value(record, machines, limits)
+    return RecordUpdate([Change(SHARD_PREFIX + shard_id, value)], added, list(change.remove))
 
 
-def _whole(record: BlockRecord, machines: Machines, limits: RecordLimits) -> bytes:
+def _encode_single_value(record: ShardRecord, machines: Machines, limits: RecordLimits) -> bytes:
     """Addresses are left out for want of room only where parts cannot make it."""
-    changed = BlockRecord(record.holder, record.boot, machines, record.earlier)
-    value = changed.encode(limits.newer, TXN_BYTES if limits.parts else limits.value_bytes)
+    changed = ShardRecord(record.owner, record.incarnation, machines, record.previous_owners)
+    value = changed.encode(
+        limits.compact, MAX_TRANSACTION_BYTES if limits.paged else limits.value_bytes
+    )
     if len(value) > limits.value_bytes and len(machines) == 1:
-        value = changed.encode(limits.newer, limits.value_bytes)
+        value = changed.encode(limits.compact, limits.value_bytes)
     return value
 
 
-def update_entries(machines: Machines, wishes: Wishes) -> None:
+def update_entries(machines: Machines, change: ShardChange) -> None:
     """Fill in addresses and marks."""
     for machine_id, entry in machines.items():
-        used = wishes.marks.get(machine_id, entry.occupied)
-        address = entry.address or wishes.addresses.get(machine_id, "")
+        used = change.occupancy.get(machine_id, entry.occupied)
+        address = entry.address or change.addresses.get(machine_id, "")
         if used != entry.occupied or address != entry.address:
             machines[machine_id] = MachineEntry(
                 address, entry.machine_type, entry.zone, entry.spot, used
             )
 
 
-def _split(label: str, record: BlockRecord, stamp: int, limits: RecordLimits) -> Edit:
+def _split_into_pages(
+    shard_id: str, record: ShardRecord, mod_revision: int, limits: RecordLimits
+) -> RecordUpdate:
     """The record's machines in parts, neighbours together; wishes wait for the next change."""
     machine_ids = sorted(record.machines)
-    most = max(1, limits.changes - 1)
-    count = min(most, max(2, -(-len(machine_ids) // PART_MOST)))
-    parts = _parts_of(record, machine_ids, count, stamp)
-    while count < most and any(_too_large(part, limits) for part in parts.values()):
+    limit = max(1, limits.max_changes - 1)
+    count = min(limit, max(2, -(-len(machine_ids) // MAX_PAGE_MACHINES)))
+    pages = _pages_of(record, machine_ids, count, mod_revision)
+    while count < limit and any(_too_large(page, limits) for page in pages.values()):
         count += 1
-        parts = _parts_of(record, machine_ids, count, stamp)
-    changes = [_head(label, record, parts)]
-    changes += [_part(label, number, part, limits) for number, part in parts.items()]
-    return Edit(changes, [], [], True)
+        pages = _pages_of(record, machine_ids, count, mod_revision)
+    changes = [_header_change(shard_id, record, pages)]
+    changes += [_page_change(shard_id, number, page, limits) for number, page in pages.items()]
+    return RecordUpdate(changes, [], [], True)
 
 
-def _parts_of(
-    record: BlockRecord, machine_ids: list[str], count: int, stamp: int
-) -> dict[int, Part]:
+def _pages_of(
+    record: ShardRecord, machine_ids: list[str], count: int, mod_revision: int
+) -> dict[int, MachinePage]:
     size = -(-len(machine_ids) // count)
     return {
-        number: Part(
-            stamp,
+        number: MachinePage(
+            mod_revision,
             {machine_id: record.machines[machine_id] for machine_id in machine_ids[at : at + size]},
         )
         for number, at in enumerate(range(0, len(machine_ids), size))
     }
 
 
-def _too_large(part: Part, limits: RecordLimits) -> bool:
-    return len(encode_part(part)) > limits.value_bytes
+def _too_large(page: MachinePage, limits: RecordLimits) -> bool:
+    return len(encode_page(page)) > limits.value_bytes
 
 
-def _head(label: str, record: BlockRecord, parts: dict[int, Part]) -> Change:
+def _header_change(shard_id: str, record: ShardRecord, pages: dict[int, MachinePage]) -> Change:
     machines: Machines = {}
-    head = BlockRecord(record.holder, record.boot, machines, record.earlier, True, parts)
-    return Change(BLOCKS + label, head.encode(True, 0))
+    header = ShardRecord(
+        record.owner, record.incarnation, machines, record.previous_owners, True, pages
+    )
+    return Change(SHARD_PREFIX + shard_id, header.encode(True, 0))
 
 
-def _part(label: str, number: int, part: Part, limits: RecordLimits) -> Change:
+def _page_change(shard_id: str, number: int, page: MachinePage, limits: RecordLimits) -> Change:
     """Addresses are left out only where the part could not be written with them."""
-    value = encode_part(part)
+    value = encode_page(page)
     if len(value) > limits.value_bytes:
-        value = encode_part(Part(part.version, without_addresses(part.machines)))
-    return Change(part_key(label, number), value)
+        value = encode_page(MachinePage(page.version, without_addresses(page.machines)))
+    return Change(page_key(shard_id, number), value)
 
 
-class _PartsEdit:
+class _PagedUpdate:
     """A change of a block whose machines stand in parts."""
 
     def __init__(
-        self, label: str, record: BlockRecord, stamp: int, wishes: Wishes, limits: RecordLimits
+        self,
+        shard_id: str,
+        record: ShardRecord,
+        mod_revision: int,
+        change: ShardChange,
+        limits: RecordLimits,
     ) -> None:
-        self.label = label
+        self.shard_id = shard_id
         self.record = record
-        self.stamp = stamp
-        self.wishes = wishes
+        self.mod_revision = mod_revision
+        self.change = change
         self.limits = limits
-        self.touched: dict[int, Machines] = {}
+        self.rewritten: dict[int, Machines] = {}
         self.added: list[str] = []
         self.removed: list[str] = []
 
-    def edit(self) -> Edit:
+    def build(self) -> RecordUpdate:
         """Removals first: they make room in the parts that they touch."""
         if self._mergeable():
             return self._merge()
-        for machine_id in self.wishes.remove:
-            machines = self._touch(self._part_of(machine_id))
+        for machine_id in self.change.remove:
+            machines = self._rewrite(self._page_of(machine_id))
             if machines is not None:
                 machines.pop(machine_id, None)
                 self.removed.append(machine_id)
-        for machine_id in self.wishes.marks:
-            self._touch(self._part_of(machine_id))
-        for machine_id in sorted(self.wishes.add):
-            machines = self._touch(self._part_with_room())
+        for machine_id in self.change.occupancy:
+            self._rewrite(self._page_of(machine_id))
+        for machine_id in sorted(self.change.add):
+            machines = self._rewrite(self._page_with_room())
             if machines is None:
                 break
-            machines[machine_id] = self.wishes.add[machine_id]
+            machines[machine_id] = self.change.add[machine_id]
             self.added.append(machine_id)
-        for machines in self.touched.values():
-            update_entries(machines, self.wishes)
-        self._split_large()
+        for machines in self.rewritten.values():
+            update_entries(machines, self.change)
+        self._split_oversized()
         return self._encode()
 
-    def _part_of(self, machine_id: str) -> int | None:
-        for number, part in self.record.parts.items():
-            if machine_id in part.machines:
+    def _page_of(self, machine_id: str) -> int | None:
+        for number, page in self.record.pages.items():
+            if machine_id in page.machines:
                 return number
         return None
 
-    def _touch(self, number: int | None) -> Machines | None:
+    def _rewrite(self, number: int | None) -> Machines | None:
         """The machines of a part that is to be written; None where no more can be."""
         if number is None:
             return None
-        machines = self.touched.get(number)
+        machines = self.rewritten.get(number)
         # One change is left for a part that has to be split.
-        if machines is None and len(self.touched) + 1 < max(2, self.limits.changes - 1):
-            part = self.record.parts.get(number)
-            machines = self.touched[number] = dict(part.machines) if part is not None else {}
+        if machines is None and len(self.rewritten) + 1 < max(2, self.limits.max_changes - 1):
+            page = self.record.pages.get(number)
+            machines = self.rewritten[number] = dict(page.machines) if page is not None else {}
         return machines
 
-    def _part_with_room(self) -> int:
+    def _page_with_room(self) -> int:
         """One that is written anyway, else the fullest with room, else a new one."""
-        for number, machines in self.touched.items():
-            if len(machines) < PART_MOST:
+        for number, machines in self.rewritten.items():
+            if len(machines) < MAX_PAGE_MACHINES:
                 return number
         free = [
-            (len(part.machines), number)
-            for number, part in self.record.parts.items()
-            if number not in self.touched and len(part.machines) < PART_MOST
+            (len(page.machines), number)
+            for number, page in self.record.pages.items()
+            if number not in self.rewritten and len(page.machines) < MAX_PAGE_MACHINES
         ]
-        return max(free)[1] if free else self._new_number()
+        return max(free)[1] if free else self._new_page_number()
 
-    def _new_number(self) -> int:
+    def _new_page_number(self) -> int:
         number = 0
-        while number in self.record.parts or number in self.touched:
+        while number in self.record.pages or number in self.rewritten:
             number += 1
         return number
 
-    def _split_large(self) -> None:
+    def _split_oversized(self) -> None:
         """A part that no value holds goes in two, or leaves what came last to a later change."""
-        waiting = list(self.touched)
+        waiting = list(self.rewritten)
         while waiting:
             number = waiting.pop()
-            machines = self.touched[number]
-            if not _too_large(Part(self.stamp, machines), self.limits) or len(machines) < 2:
+            machines = self.rewritten[number]
+            if (
+                not _too_large(MachinePage(self.mod_revision, machines), self.limits)
+                or len(machines) < 2
+            ):
                 continue
-            if len(self.touched) + 1 < self.limits.changes:
+            if len(self.rewritten) + 1 < self.limits.max_changes:
                 upper = sorted(machines)[len(machines) // 2 :]
-                new = self._new_number()
-                self.touched[new] = {machine_id: machines.pop(machine_id) for machine_id in upper}
+                new = self._new_page_number()
+                self.rewritten[new] = {machine_id: machines.pop(machine_id) for machine_id in upper}
                 waiting += [number, new]
             elif self._drop_added(machines):
                 waiting.append(number)
-            elif len(self.touched) > 1:
-                self._leave(number)
+            elif len(self.rewritten) > 1:
+                self._keep_unchanged(number)
 
     def _drop_added(self, machines: Machines) -> bool:
         added = [machine_id for machine_id in self.added if machine_id in machines]
@@ -257,37 +271,39 @@
         self.added = [machine_id for machine_id in self.added if machine_id not in dropped]
         return bool(dropped)
 
-    def _leave(self, number: int) -> None:
+    def _keep_unchanged(self, number: int) -> None:
         """Leave a part as it is; a later change has room to split it."""
-        del self.touched[number]
-        part = self.record.parts.get(number)
-        if part is not None:
+        del self.rewritten[number]
+        page = self.record.pages.get(number)
+        if page is not None:
             self.removed = [
-                machine_id for machine_id in self.removed if machine_id not in part.machines
+                machine_id for machine_id in self.removed if machine_id not in page.machines
             ]
 
-    def _encode(self) -> Edit:
-        parts = dict(self.record.parts)
+    def _encode(self) -> RecordUpdate:
+        pages = dict(self.record.pages)
         changes = []
-        for number, machines in self.touched.items():
+        for number, machines in self.rewritten.items():
             if machines:
-                parts[number] = Part(self.stamp, machines)
-                changes.append(_part(self.label, number, parts[number], self.limits))
+                pages[number] = MachinePage(self.mod_revision, machines)
+                changes.append(_page_change(self.shard_id, number, pages[number], self.limits))
             else:
-                parts.pop(number, None)
-                changes.append(Change(part_key(self.label, number), None))
-        return Edit([_head(self.label, self.record, parts), *changes], self.added, self.removed)
+                pages.pop(number, None)
+                changes.append(Change(page_key(self.shard_id, number), None))
+        return RecordUpdate(
+            [_header_change(self.shard_id, self.record, pages), *changes], self.added, self.removed
+        )
 
     def _mergeable(self) -> bool:
-        few = len(self.record.machines) + len(self.wishes.add) <= MERGE_MOST
-        if not few or len(self.record.parts) + 1 > self.limits.changes:
+        few = len(self.record.machines) + len(self.change.add) <= MAX_MERGED_MACHINES
+        if not few or len(self.record.pages) + 1 > self.limits.max_changes:
             return False
-        value = _whole(self.record, self.record.machines, self.limits)
+        value = _encode_single_value(self.record, self.record.machines, self.limits)
         return len(value) * 2 <= self.limits.value_bytes
 
-    def _merge(self) -> Edit:
+    def _merge(self) -> RecordUpdate:
         """A fleet that has shrunk pays for one value a change again; wishes wait for the next."""
-        value = _whole(self.record, self.record.machines, self.limits)
-        changes = [Change(BLOCKS + self.label, value)]
-        changes += [Change(part_key(self.label, number), None) for number in self.record.parts]
-        return Edit(changes, [], [], True)
+        value = _encode_single_value(self.record, self.record.machines, self.limits)
+        changes = [Change(SHARD_PREFIX + self.shard_id, value)]
+        changes += [Change(page_key(self.shard_id, number), None) for number in self.record.pages]
+        return RecordUpdate(changes, [], [], True)
--- a/fallpulley/blocks/messages.py
+++ b/fallpulley/blocks/messages.py
@@ -14,32 +14,42 @@
     without_addresses,
 )
 
-__all__ = ["BlockRecord", "Former", "MachineEntry", "Machines", "Part", "decode_block"]
-
-
-class Session(msgspec.Struct):
+__all__ = [
+    "MachineEntry",
+    "MachinePage",
+    "Machines",
+    "PreviousOwner",
+    "ShardRecord",
+    "decode_shard",
+]
+
+
+class Session(
+    msgspec.Struct,
+    rename={"controller_id": "label", "incarnation": "boot", "record_format": "format"},
+):
     """`live/session/<label>` and `live/leader`, attached to the controller's lease."""
 
-    label: str
-    boot: str
+    controller_id: str
+    incarnation: str
     # The newest record format that the process knows. The first ones did not say.
-    format: int = 1
+    record_format: int = 1
 
 
-class FormatMark(msgspec.Struct):
+class FormatMarker(msgspec.Struct, rename={"record_format": "format"}):
     """`live/format`: records may be written in this format. Never taken back."""
 
-    format: int
+    record_format: int
 
 
-class Former(msgspec.Struct, frozen=True, array_like=True):
+class PreviousOwner(msgspec.Struct, frozen=True, array_like=True):
     """A process that held the block before its present holder."""
 
-    label: str
-    boot: str
+    controller_id: str
+    incarnation: str
 
 
-class Part(msgspec.Struct):
+class MachinePage(msgspec.Struct):
     """Some of a block's machines, in a value of their own."""
 
     # The stamp of the block's record that the part was written on: no two values of one part
@@ -48,32 +58,32 @@
     machines: Machines
 
 
-class BlockRecord(msgspec.Struct):
+class ShardRecord(msgspec.Struct):
     """`live/block/<label>`: who holds the block, and its machines.
 
     The record's stamp is the block's fencing token: every change raises it.
     """
 
-    holder: str
-    boot: str
+    owner: str
+    incarnation: str
     machines: Machines
     # Former holders that may still answer machines within their windows. Not the last one alone:
     # a holder cut off with half the machines went on answering them while its successor came
     # and ended, and that end was taken for its own.
-    earlier: list[Former] = []
-    newer: bool = False  # it was read in format 2 or above
+    previous_owners: list[PreviousOwner] = []
+    compact: bool = False  # it was read in format 2 or above
     # Where the machines stand in parts: these, by number, and none in the record itself.
-    parts: dict[int, Part] = {}
+    pages: dict[int, MachinePage] = {}
 
-    def encode(self, newer: bool, most_bytes: int) -> bytes:
+    def encode(self, compact: bool, most_bytes: int) -> bytes:
         """The record's value. In format 2 once every controller reads it. Where addresses follow
         no pattern and fill the value, they are left to reports and to the cloud's list: a record
         that no value holds could not change hands any more."""
-        if self.parts:
-            return self._encode_head()
-        if not newer:
+        if self.pages:
+            return self._encode_header()
+        if not compact:
             packed = pack_groups(self.machines)
-            wire = _BlockWire(self.holder, self.boot, packed, self.earlier)
+            wire = _StoredShard(self.owner, self.incarnation, packed, self.previous_owners)
             return msgspec.json.encode(wire)
         value = self._encode_runs(self.machines)
         if len(value) > most_bytes:
@@ -81,80 +91,103 @@
         return value
 
     def _encode_runs(self, machines: Machines) -> bytes:
-        wire = _BlockWire(self.holder, self.boot, runs=pack_runs(machines), earlier=self.earlier)
+        wire = _StoredShard(
+            self.owner,
+            self.incarnation,
+            compact_machines=pack_runs(machines),
+            previous_owners=self.previous_owners,
+        )
         return msgspec.json.encode(wire)
 
-    def _encode_head(self) -> bytes:
+    def _encode_header(self) -> bytes:
         """The parts' versions tell which of their values belong to this record."""
-        versions = [(number, part.version) for number, part in sorted(self.parts.items())]
-        wire = _BlockWire(self.holder, self.boot, earlier=self.earlier, parts=versions)
+        versions = [(number, page.version) for number, page in sorted(self.pages.items())]
+        wire = _StoredShard(
+            self.owner,
+            self.incarnation,
+            previous_owners=self.previous_owners,
+            page_versions=versions,
+        )
         return msgspec.json.encode(wire)
 
 
-class _BlockWire(msgspec.Struct, omit_defaults=True):
-    holder: str
-    boot: str
-    packed: bytes = b""  # in base64; the groups as JSON, compressed
-    earlier: list[Former] = []
-    runs: bytes = b""  # likewise, from format 2 on: the kinds
-    parts: list[tuple[int, int]] = []  # from format 3 on: number and version of each part
-
-
-class _PartWire(msgspec.Struct):
+class _StoredShard(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={
+        "owner": "holder",
+        "incarnation": "boot",
+        "grouped_machines": "packed",
+        "previous_owners": "earlier",
+        "compact_machines": "runs",
+        "page_versions": "parts",
+    },
+):
+    owner: str
+    incarnation: str
+    grouped_machines: bytes = b""  # in base64; the groups as JSON, compressed
+    previous_owners: list[PreviousOwner] = []
+    compact_machines: bytes = b""  # likewise, from format 2 on: the kinds
+    page_versions: list[tuple[int, int]] = []  # from format 3 on: number and version of each part
+
+
+class _StoredPage(msgspec.Struct, rename={"compact_machines": "runs"}):
     version: int
-    runs: bytes
+    compact_machines: bytes
 
 
-class BlockHead(msgspec.Struct):
+class ShardHeader(msgspec.Struct):
     """A block's value as it was read: a whole record, or one that wants its parts."""
 
-    record: BlockRecord
-    versions: dict[int, int]  # of its parts
+    record: ShardRecord
+    page_versions: dict[int, int]  # of its parts
 
 
-def decode_head(value: bytes) -> BlockHead:
+def decode_shard_header(value: bytes) -> ShardHeader:
     """From the value of `live/block/<label>`, in any format; raises `msgspec.MsgspecError` when
     broken."""
-    wire = msgspec.json.decode(value, type=_BlockWire)
-    if wire.parts:
-        record = BlockRecord(wire.holder, wire.boot, {}, wire.earlier, True)
-        return BlockHead(record, dict(wire.parts))
-    if wire.runs:
-        machines, newer = unpack_runs(wire.runs), True
+    wire = msgspec.json.decode(value, type=_StoredShard)
+    if wire.page_versions:
+        record = ShardRecord(wire.owner, wire.incarnation, {}, wire.previous_owners, True)
+        return ShardHeader(record, dict(wire.page_versions))
+    if wire.compact_machines:
+        machines, compact = unpack_runs(wire.compact_machines), True
     else:
-        machines, newer = unpack_groups(wire.packed), False
-    return BlockHead(BlockRecord(wire.holder, wire.boot, machines, wire.earlier, newer), {})
+        machines, compact = unpack_groups(wire.grouped_machines), False
+    return ShardHeader(
+        ShardRecord(wire.owner, wire.incarnation, machines, wire.previous_owners, compact), {}
+    )
 
 
-def decode_block(value: bytes) -> BlockRecord:
+def decode_shard(value: bytes) -> ShardRecord:
     """The record from its value, with the machines that stand in it."""
-    return decode_head(value).record
+    return decode_shard_header(value).record
 
 
-def encode_part(part: Part) -> bytes:
+def encode_page(page: MachinePage) -> bytes:
     """The value of `live/machines/<label>/<number>`."""
-    return msgspec.json.encode(_PartWire(part.version, pack_runs(part.machines)))
+    return msgspec.json.encode(_StoredPage(page.version, pack_runs(page.machines)))
 
 
-def decode_part(value: bytes) -> Part:
+def decode_page(value: bytes) -> MachinePage:
     """Raises `msgspec.MsgspecError` when broken."""
-    wire = msgspec.json.decode(value, type=_PartWire)
-    return Part(wire.version, unpack_runs(wire.runs))
+    wire = msgspec.json.decode(value, type=_StoredPage)
+    return MachinePage(wire.version, unpack_runs(wire.compact_machines))
 
 
-class Retired(msgspec.Struct, omit_defaults=True, rename={"machine_ids": "hosts"}):
+class ReleaseRecord(msgspec.Struct, omit_defaults=True, rename={"machine_ids": "hosts"}):
     """`live/retire/<host>`: machines to be released, that one alone in the older format."""
 
     machine_ids: list[str] = []
 
 
-class TeamHome(msgspec.Struct):
+class TeamShard(msgspec.Struct, rename={"shard_id": "block"}):
     """`live/team/<name>`: the one block of a team with a limit."""
 
-    block: str
+    shard_id: str
 
 
-class Grant(msgspec.Struct):
+class LeaseGrant(msgspec.Struct, rename={"lease_id": "tenure"}):
     """The answer to `POST /leases`."""
 
-    tenure: int
+    lease_id: int
--- a/fallpulley/blocks/registry.py
+++ b/fallpulley/blocks/registry.py
@@ -9,42 +9,47 @@
 import msgspec
 
 from fallpulley.blocks.messages import (
-    BlockHead,
-    BlockRecord,
-    FormatMark,
-    Former,
-    Part,
-    Retired,
+    FormatMarker,
+    MachinePage,
+    PreviousOwner,
+    ReleaseRecord,
     Session,
-    TeamHome,
-    decode_head,
-    decode_part,
+    ShardHeader,
+    ShardRecord,
+    TeamShard,
+    decode_page,
+    decode_shard_header,
 )
 from fallpulley.blocks.packing import entry_cache
 from fallpulley.fleet.messages import Catalog, MachineType
 
 log = logging.getLogger(__name__)
 
-LEADER = "live/leader"
-FORMAT = "live/format"
-CATALOG = "live/catalog"
-SHARES = "live/shares"
-BLOCKS, SESSIONS, TEAMS, RETIRED = "live/block/", "live/session/", "live/team/", "live/retire/"
+LEADER_KEY = "live/leader"
+FORMAT_KEY = "live/format"
+CATALOG_KEY = "live/catalog"
+SHARES_KEY = "live/shares"
+SHARD_PREFIX, SESSION_PREFIX, TEAM_PREFIX, RELEASE_PREFIX = (
+    "live/block/",
+    "live/session/",
+    "live/team/",
+    "live/retire/",
+)
 # Not under BLOCKS: there a version that does not know parts would take each for a block.
-PARTS = "live/machines/"
+PAGE_PREFIX = "live/machines/"
 
 T = TypeVar("T")
-Kind = tuple[str, str, bool]  # type, zone, spot
+MachineShape = tuple[str, str, bool]  # type, zone, spot
 
 
-def part_key(label: str, number: int) -> str:
+def page_key(shard_id: str, number: int) -> str:
     """Where a part of a block's machines stands."""
-    return f"{PARTS}{label}/{number}"
+    return f"{PAGE_PREFIX}{shard_id}/{number}"
 
 
-def _named_part(key: str) -> tuple[str, int] | None:
-    label, _, number = key[len(PARTS) :].rpartition("/")
-    return (label, int(number)) if label and number.isdigit() else None
+def _parse_page_key(key: str) -> tuple[str, int] | None:
+    shard_id, _, number = key[len(PAGE_PREFIX) :].rpartition("/")
+    return (shard_id, int(number)) if shard_id and number.isdigit() else None
 
 
 class Registry:
@@ -54,147 +59,155 @@
     def __init__(self) -> None:
         self.sessions: dict[str, tuple[Session, int]] = {}
         self.leader: tuple[Session, int] | None = None
-        self.blocks: dict[str, tuple[BlockRecord, int]] = {}
-        self.filled: dict[str, int] = {}  # block -> bytes of its record's value
-        self.older: set[str] = set()  # blocks whose records are in the older format
+        self.shards: dict[str, tuple[ShardRecord, int]] = {}
+        self.record_bytes: dict[str, int] = {}  # block -> bytes of its record's value
+        self.first_format_shards: set[str] = set()  # blocks whose records are in the older format
         self.shard_of_machine: dict[str, str] = {}
-        self._heads: dict[str, tuple[BlockHead, int]] = {}  # with parts, and their stamps
-        self._parts: dict[str, dict[int, Part]] = {}  # block -> its parts as last seen
-        self._kinds: dict[str, tuple[int, dict[Kind, float]]] = {}  # by block, with its stamp
-        self.homes: dict[str, str] = {}
-        self.retired: dict[str, str] = {}  # machine to be released -> its record's key
-        self.retiring: dict[str, list[str]] = {}  # key -> its machines
-        self.formats: dict[str, int] = {}  # label -> record format its last process seen knows
-        self.format = 1  # that records may be written in
+        self._headers: dict[str, tuple[ShardHeader, int]] = {}  # with parts, and their stamps
+        self._pages: dict[str, dict[int, MachinePage]] = {}  # block -> its parts as last seen
+        self._processors_by_shape: dict[
+            str, tuple[int, dict[MachineShape, float]]
+        ] = {}  # by block, with its stamp
+        self.team_shards: dict[str, str] = {}
+        self.release_records: dict[str, str] = {}  # machine to be released -> its record's key
+        self.machines_by_release_record: dict[str, list[str]] = {}  # key -> its machines
+        self.known_formats: dict[
+            str, int
+        ] = {}  # label -> record format its last process seen knows
+        self.record_format = 1  # that records may be written in
         self.machine_types: dict[str, MachineType] = {}
         self.lost_sessions: dict[str, int] = {}  # label -> stamp at which it was last dropped
 
-    def on_key(self, key: str, value: bytes | None, stamp: int) -> str | None:
+    def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> str | None:
         """Take a record; returns the block whose record, as it is shown, has changed with it."""
-        if key.startswith(BLOCKS):
-            return self._on_head(key[len(BLOCKS) :], value, stamp)
-        if key.startswith(PARTS):
-            return self._on_part(key, value)
-        self._on_other(key, value, stamp)
+        if key.startswith(SHARD_PREFIX):
+            return self._on_shard_record(key[len(SHARD_PREFIX) :], value, mod_revision)
+        if key.startswith(PAGE_PREFIX):
+            return self._on_page(key, value)
+        self._on_small_record(key, value, mod_revision)
         return None
 
-    def _on_other(self, key: str, value: bytes | None, stamp: int) -> None:
-        if key.startswith(SESSIONS):
-            label = key[len(SESSIONS) :]
+    def _on_small_record(self, key: str, value: bytes | None, mod_revision: int) -> None:
+        if key.startswith(SESSION_PREFIX):
+            shard_id = key[len(SESSION_PREFIX) :]
             session = _decode(value, Session)
             if session is None:
-                self.sessions.pop(label, None)
+                self.sessions.pop(shard_id, None)
             else:
-                self.sessions[label] = (session, stamp)
-                if self.formats.get(label) != session.format:
-                    log.info("controller format label=%s knows=%d", label, session.format)
-                self.formats[label] = session.format
-        elif key == FORMAT:
-            mark = _decode(value, FormatMark)
-            self.format = max(self.format, mark.format if mark is not None else 1)
-        elif key == LEADER:
+                self.sessions[shard_id] = (session, mod_revision)
+                if self.known_formats.get(shard_id) != session.record_format:
+                    log.info("controller format label=%s knows=%d", shard_id, session.record_format)
+                self.known_formats[shard_id] = session.record_format
+        elif key == FORMAT_KEY:
+            mark = _decode(value, FormatMarker)
+            self.record_format = max(
+                self.record_format, mark.record_format if mark is not None else 1
+            )
+        elif key == LEADER_KEY:
             leader = _decode(value, Session)
-            self.leader = None if leader is None else (leader, stamp)
-            log.info("leader %s term=%d", leader.label if leader else "none", stamp)
-        elif key.startswith(RETIRED):
-            for machine_id in self.retiring.pop(key, ()):
-                self.retired.pop(machine_id, None)
-            going = _decode(value, Retired)
+            self.leader = None if leader is None else (leader, mod_revision)
+            log.info("leader %s term=%d", leader.controller_id if leader else "none", mod_revision)
+        elif key.startswith(RELEASE_PREFIX):
+            for machine_id in self.machines_by_release_record.pop(key, ()):
+                self.release_records.pop(machine_id, None)
+            going = _decode(value, ReleaseRecord)
             if going is not None:
-                machine_ids = going.machine_ids or [key[len(RETIRED) :]]
-                self.retiring[key] = machine_ids
-                self.retired.update(dict.fromkeys(machine_ids, key))
-        elif key.startswith(TEAMS):
-            home = _decode(value, TeamHome)
+                machine_ids = going.machine_ids or [key[len(RELEASE_PREFIX) :]]
+                self.machines_by_release_record[key] = machine_ids
+                self.release_records.update(dict.fromkeys(machine_ids, key))
+        elif key.startswith(TEAM_PREFIX):
+            home = _decode(value, TeamShard)
             if home is not None:
-                self.homes[key[len(TEAMS) :]] = home.block
-        elif key == CATALOG:
+                self.team_shards[key[len(TEAM_PREFIX) :]] = home.shard_id
+        elif key == CATALOG_KEY:
             catalog = _decode(value, Catalog)
             if catalog is not None:
                 self.machine_types = {
                     machine_type.name: machine_type for machine_type in catalog.machine_types
                 }
-                self._kinds.clear()
+                self._processors_by_shape.clear()
 
-    def _on_head(self, label: str, value: bytes | None, stamp: int) -> str | None:
-        self.filled[label] = len(value or b"")
-        head = _head(value)
-        if head is not None and not head.record.newer:
-            self.older.add(label)
+    def _on_shard_record(self, shard_id: str, value: bytes | None, mod_revision: int) -> str | None:
+        self.record_bytes[shard_id] = len(value or b"")
+        header = _decode_header(value)
+        if header is not None and not header.record.compact:
+            self.first_format_shards.add(shard_id)
         else:
-            self.older.discard(label)
-        if head is None or not head.versions:
-            self._heads.pop(label, None)
-            self._show(label, None if head is None else head.record, stamp)
-            return label
-        self._heads[label] = (head, stamp)
-        return self._assemble(label)
-
-    def _on_part(self, key: str, value: bytes | None) -> str | None:
-        named = _named_part(key)
+            self.first_format_shards.discard(shard_id)
+        if header is None or not header.page_versions:
+            self._headers.pop(shard_id, None)
+            self._publish(shard_id, None if header is None else header.record, mod_revision)
+            return shard_id
+        self._headers[shard_id] = (header, mod_revision)
+        return self._assemble(shard_id)
+
+    def _on_page(self, key: str, value: bytes | None) -> str | None:
+        named = _parse_page_key(key)
         if named is None:
             return None
-        label, number = named
-        part = _part(value)
-        parts = self._parts.setdefault(label, {})
-        if part is None:
-            parts.pop(number, None)
+        shard_id, number = named
+        page = _decode_page(value)
+        pages = self._pages.setdefault(shard_id, {})
+        if page is None:
+            pages.pop(number, None)
             return None
-        parts[number] = part
-        return self._assemble(label)
+        pages[number] = page
+        return self._assemble(shard_id)
 
-    def _assemble(self, label: str) -> str | None:
+    def _assemble(self, shard_id: str) -> str | None:
         """Show the block if its record and its parts belong together. One transaction writes both,
         but they arrive one after the other, and pages of a listing may lie a change apart."""
-        entry = self._heads.get(label)
+        entry = self._headers.get(shard_id)
         if entry is None:
             return None
-        head, stamp = entry
-        shown = self.blocks.get(label)
-        if shown is not None and shown[1] >= stamp:
+        header, mod_revision = entry
+        shown = self.shards.get(shard_id)
+        if shown is not None and shown[1] >= mod_revision:
             return None
-        parts = self._parts.get(label, {})
-        found: dict[int, Part] = {}
-        for number, version in head.versions.items():
-            part = parts.get(number)
-            if part is None or part.version != version:
+        pages = self._pages.get(shard_id, {})
+        found: dict[int, MachinePage] = {}
+        for number, version in header.page_versions.items():
+            page = pages.get(number)
+            if page is None or page.version != version:
                 return None
-            found[number] = part
+            found[number] = page
         machines = {}
-        for part in found.values():
-            machines.update(part.machines)
-        record = head.record
-        self._show(
-            label,
-            BlockRecord(record.holder, record.boot, machines, record.earlier, True, found),
-            stamp,
+        for page in found.values():
+            machines.update(page.machines)
+        record = header.record
+        self._publish(
+            shard_id,
+            ShardRecord(
+                record.owner, record.incarnation, machines, record.previous_owners, True, found
+            ),
+            mod_revision,
         )
-        return label
+        return shard_id
 
-    def _show(self, label: str, record: BlockRecord | None, stamp: int) -> None:
-        old = self.blocks.get(label)
+    def _publish(self, shard_id: str, record: ShardRecord | None, mod_revision: int) -> None:
+        old = self.shards.get(shard_id)
         before = old[0].machines.keys() if old is not None else set()
         after = record.machines.keys() if record is not None else set()
         for machine_id in before - after:
-            if self.shard_of_machine.get(machine_id) == label:
+            if self.shard_of_machine.get(machine_id) == shard_id:
                 del self.shard_of_machine[machine_id]
         if record is None:
-            self.blocks.pop(label, None)
+            self.shards.pop(shard_id, None)
             return
-        self.blocks[label] = (record, stamp)
+        self.shards[shard_id] = (record, mod_revision)
         for machine_id in record.machines if old is None else after - before:
-            self.shard_of_machine[machine_id] = label
-        entry_cache.fit(sum(len(block.machines) for block, _ in self.blocks.values()))
+            self.shard_of_machine[machine_id] = shard_id
+        entry_cache.fit(sum(len(record.machines) for record, _ in self.shards.values()))
 
-    def processors(self, label: str) -> float:
+    def processors(self, shard_id: str) -> float:
         """Of all machines in a block's record."""
-        return sum(self.kinds(label).values())
+        return sum(self.processors_by_shape(shard_id).values())
 
-    def kinds(self, label: str) -> dict[Kind, float]:
+    def processors_by_shape(self, shard_id: str) -> dict[MachineShape, float]:
         """Processors of a block's machines by type, zone and whether they are spot ones."""
-        record, stamp = self.blocks[label]
-        known = self._kinds.get(label)
-        if known is not None and known[0] == stamp:
+        record, mod_revision = self.shards[shard_id]
+        known = self._processors_by_shape.get(shard_id)
+        if known is not None and known[0] == mod_revision:
             return known[1]
         numbers = Counter((m.machine_type, m.zone, m.spot) for m in record.machines.values())
         found = {
@@ -202,45 +215,49 @@
             for machine_type, number in numbers.items()
             if machine_type[0] in self.machine_types
         }
-        self._kinds[label] = (stamp, found)
+        self._processors_by_shape[shard_id] = (mod_revision, found)
         return found
 
-    def holder_of(self, label: str) -> str | None:
-        entry = self.blocks.get(label)
-        return None if entry is None else entry[0].holder
+    def owner_of(self, shard_id: str) -> str | None:
+        entry = self.shards.get(shard_id)
+        return None if entry is None else entry[0].owner
 
-    def ended(self, former: Former, label: str, boot: str) -> bool:
+    def has_ended(self, previous: PreviousOwner, shard_id: str, incarnation: str) -> bool:
         """A newer process of a label (`label` and `boot` are our own) means that the older one
         has ended: records come in one order, so a session seen now is the newest."""
-        session = self.sessions.get(former.label)
-        newer = session is not None and session[0].boot != former.boot
-        return newer or (former.label == label and former.boot != boot)
+        session = self.sessions.get(previous.controller_id)
+        compact = session is not None and session[0].incarnation != previous.incarnation
+        return compact or (
+            previous.controller_id == shard_id and previous.incarnation != incarnation
+        )
 
-    def formers(self, record: BlockRecord, label: str, boot: str) -> list[Former]:
+    def previous_owners(
+        self, record: ShardRecord, shard_id: str, incarnation: str
+    ) -> list[PreviousOwner]:
         """The former holders of a block that changes hands: those not known to have ended."""
-        found = [*record.earlier, Former(record.holder, record.boot)]
-        return [f for f in dict.fromkeys(found) if not self.ended(f, label, boot)]
+        found = [*record.previous_owners, PreviousOwner(record.owner, record.incarnation)]
+        return [f for f in dict.fromkeys(found) if not self.has_ended(f, shard_id, incarnation)]
 
-    def holder_alive(self, record: BlockRecord) -> bool:
-        session = self.sessions.get(record.holder)
-        return session is not None and session[0].boot == record.boot
+    def owner_alive(self, record: ShardRecord) -> bool:
+        session = self.sessions.get(record.owner)
+        return session is not None and session[0].incarnation == record.incarnation
 
 
-def _head(value: bytes | None) -> BlockHead | None:
+def _decode_header(value: bytes | None) -> ShardHeader | None:
     if value is None:
         return None
     try:
-        return decode_head(value)
+        return decode_shard_header(value)
     except msgspec.MsgspecError:
         log.error("state broken record %.80r", value)
         return None
 
 
-def _part(value: bytes | None) -> Part | None:
+def _decode_page(value: bytes | None) -> MachinePage | None:
     if value is None:
         return None
     try:
-        return decode_part(value)
+        return decode_page(value)
     except msgspec.MsgspecError:
         log.error("state broken part %.80r", value)
         return None
--- a/fallpulley/blocks/session.py
+++ b/fallpulley/blocks/session.py
@@ -6,112 +6,118 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import Grant, Session
-from fallpulley.core import Core
+from fallpulley.blocks.messages import LeaseGrant, Session
+from fallpulley.core import ControllerContext
 from fallpulley.formats import NEWEST_FORMAT
 from fallpulley.state.client import Change, RequestPriority, Write
-from fallpulley.state.view import View
+from fallpulley.state.view import WatchCache
 
 log = logging.getLogger(__name__)
 
 # Renewals within one session length: three may fail before the session ends.
-RENEWALS = 4
+RENEWALS_PER_SESSION = 4
 
 
 class SessionLease:
-    def __init__(self, core: Core, view: View) -> None:
-        self.core = core
-        self.view = view
-        self.key = f"live/session/{core.label}"
-        self.format = NEWEST_FORMAT  # the newest record format that this process knows
-        self.tenure: int | None = None
-        self.held = False  # the key is attached to our lease
+    def __init__(self, context: ControllerContext, watch: WatchCache) -> None:
+        self.context = context
+        self.watch = watch
+        self.key = f"live/session/{context.controller_id}"
+        self.record_format = NEWEST_FORMAT  # the newest record format that this process knows
+        self.lease_id: int | None = None
+        self.attached = False  # the key is attached to our lease
         self.renewed_at = float("-inf")  # when the last successful renewal was sent
-        self._busy = False
-        self._next = float("-inf")
+        self._renewal_in_flight = False
+        self._next_renewal_at = float("-inf")
         self._attaching = False
 
     @property
-    def value(self) -> bytes:
-        return msgspec.json.encode(Session(self.core.label, self.core.boot, self.format))
+    def encoded(self) -> bytes:
+        return msgspec.json.encode(
+            Session(self.context.controller_id, self.context.incarnation, self.record_format)
+        )
 
-    def live(self) -> bool:
+    def is_live(self) -> bool:
         """Our session certainly exists."""
-        return self.held and self.core.now < self.renewed_at + self.core.session_s
+        return self.attached and self.context.now < self.renewed_at + self.context.session_s
 
     def tick(self) -> None:
-        if not self.view.ready:
+        if not self.watch.ready:
             return
-        now = self.core.now
-        if not self._busy and now >= self._next:
-            self._next = now + self.core.session_s / RENEWALS
-            if self.tenure is None:
+        now = self.context.now
+        if not self._renewal_in_flight and now >= self._next_renewal_at:
+            self._next_renewal_at = now + self.context.session_s / RENEWALS_PER_SESSION
+            if self.lease_id is None:
                 self._create()
             else:
-                self._renew(self.tenure)
-        if self.tenure is not None and not self.held and not self._attaching:
-            self._attach(self.tenure)
+                self._renew(self.lease_id)
+        if self.lease_id is not None and not self.attached and not self._attaching:
+            self._attach(self.lease_id)
 
     def _create(self) -> None:
-        self._busy = True
-        life_ms = max(100, min(600_000, round(self.core.session_s * 1000)))
+        self._renewal_in_flight = True
+        life_ms = max(100, min(600_000, round(self.context.session_s * 1000)))
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
-            self._busy = False
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+            self._renewal_in_flight = False
             if status == 200:
                 try:
-                    self.tenure = msgspec.json.decode(body, type=Grant).tenure
+                    self.lease_id = msgspec.json.decode(body, type=LeaseGrant).lease_id
                 except msgspec.MsgspecError:
                     return
                 self.renewed_at = sent_at
 
         body = msgspec.json.encode({"life_ms": life_ms})
-        self.core.state.read("/leases", done, RequestPriority.RENEWAL, "POST", body, 1.0)
+        self.context.state_client.request(
+            "/leases", on_response, RequestPriority.RENEWAL, "POST", body, 1.0
+        )
 
-    def _renew(self, tenure: int) -> None:
-        self._busy = True
+    def _renew(self, lease_id: int) -> None:
+        self._renewal_in_flight = True
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
-            self._busy = False
-            if self.tenure != tenure:
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+            self._renewal_in_flight = False
+            if self.lease_id != lease_id:
                 return
             if status == 200:
                 self.renewed_at = max(self.renewed_at, sent_at)
             elif status == 404:
-                log.info("session lost tenure=%d", tenure)
-                self.drop()
+                log.info("session lost tenure=%d", lease_id)
+                self.discard()
 
-        timeout_s = max(0.3, self.core.session_s / RENEWALS)
-        path = f"/leases/{tenure}/extend"
-        self.core.state.read(path, done, RequestPriority.RENEWAL, "POST", b"", timeout_s)
+        timeout_s = max(0.3, self.context.session_s / RENEWALS_PER_SESSION)
+        path = f"/leases/{lease_id}/extend"
+        self.context.state_client.request(
+            path, on_response, RequestPriority.RENEWAL, "POST", b"", timeout_s
+        )
 
-    def drop(self) -> None:
-        self.tenure = None
-        self.held = False
-        self._next = float("-inf")
+    def discard(self) -> None:
+        self.lease_id = None
+        self.attached = False
+        self._next_renewal_at = float("-inf")
 
-    def _attach(self, tenure: int) -> None:
+    def _attach(self, lease_id: int) -> None:
         self._attaching = True
 
-        def written(status: int | None, ledger: int) -> None:
+        def on_result(status: int | None, revision: int) -> None:
             self._attaching = False
-            if self.tenure != tenure:
+            if self.lease_id != lease_id:
                 return
             if status == 200:
-                self.held = True
-                log.info("session open tenure=%d boot=%s", tenure, self.core.boot)
+                self.attached = True
+                log.info("session open tenure=%d boot=%s", lease_id, self.context.incarnation)
             elif status == 400:
-                self.drop()
+                self.discard()
 
         # An older process of this label has ended, or there would be no new one: its
         # session key may be replaced at once.
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
-                {self.key: self.view.stamp(self.key)},
-                [Change(self.key, self.value, tenure)],
-                written,
+                {self.key: self.watch.mod_revision(self.key)},
+                [Change(self.key, self.encoded, lease_id)],
+                on_result,
                 RequestPriority.RENEWAL,
-                alone=True,
-                expires_at=self.core.now + 2.0,
+                isolated=True,
+                expires_at=self.context.now + 2.0,
             )
         )
--- a/fallpulley/capacity.py
+++ b/fallpulley/capacity.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fallpulley.blocks.shares import CHECKIN_S, CHECKIN_SHARE, machines_per_block
+from fallpulley.blocks.shares import HEARTBEAT_CPU_SECONDS, HEARTBEAT_CPU_SHARE, machines_per_shard
 from fallpulley.settings import SERVE_SHARE, Settings
 
 # What a controller was measured to need, on simulated machines. Processor time from its start to
@@ -45,10 +45,10 @@
     """What one controller lacks to carry so many machines, as the last one left would have to, each
     with the figure needed. None of it breaks a rule: what can't be taken is refused or late."""
     limits, workers = settings.facts.machine_limits, settings.facts.workers
-    share = machines * CHECKIN_S / (CHECKIN_SHARE * workers.report_s)
+    share = machines * HEARTBEAT_CPU_SECONDS / (HEARTBEAT_CPU_SHARE * workers.report_s)
     sockets = machines / SERVE_SHARE
     memory_mb = START_MB + MACHINE_MB * machines
-    blocks = -(-machines // machines_per_block(settings.facts))
+    shards = -(-machines // machines_per_shard(settings.facts))
     found = []
     if limits.core_share < share:
         found.append(
@@ -66,9 +66,9 @@
             f"facts.machine_limits.memory_mb: {limits.memory_mb:g} is too small for {machines}"
             f" machines with one controller left, {memory_mb:.0f} is needed"
         )
-    if blocks > settings.facts.nodes:
+    if shards > settings.facts.nodes:
         found.append(
             f"facts.nodes: {settings.facts.nodes} are too few for {machines} machines on such"
-            f" controllers, {blocks} are needed for each to serve its part in time"
+            f" controllers, {shards} are needed for each to serve its part in time"
         )
     return found
--- a/fallpulley/cli.py
+++ b/fallpulley/cli.py
@@ -76,7 +76,7 @@
 def _describe(settings: Settings) -> str:
     facts = settings.facts
     return (
-        f"ok label={settings.label} site={settings.site} nodes={facts.nodes}"
+        f"ok label={settings.controller_id} site={settings.site} nodes={facts.nodes}"
         f" zones={len(facts.zones)} teams={len(facts.teams)} objectives={len(facts.objectives)}"
     )
 
--- a/fallpulley/controller.py
+++ b/fallpulley/controller.py
@@ -9,28 +9,28 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from fallpulley.blocks.balance import BlockBalance
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.balance import ShardBalancer
+from fallpulley.blocks.held import Shard
 from fallpulley.blocks.leadership import Leadership
-from fallpulley.blocks.marks import UsedMarks
-from fallpulley.blocks.messages import Former
-from fallpulley.blocks.registry import FORMAT, SESSIONS, SHARES, Registry
+from fallpulley.blocks.marks import OccupancyFlags
+from fallpulley.blocks.messages import PreviousOwner
+from fallpulley.blocks.registry import FORMAT_KEY, SESSION_PREFIX, SHARES_KEY, Registry
 from fallpulley.blocks.session import SessionLease
-from fallpulley.blocks.shares import write_share
-from fallpulley.blocks.writer import BlockWriter
-from fallpulley.core import Core
-from fallpulley.effects import Command, Effect, OperatorRequest, PeerMessage, Request, Result
+from fallpulley.blocks.shares import change_share
+from fallpulley.blocks.writer import ShardWriter
+from fallpulley.core import ControllerContext
+from fallpulley.effects import CallCompleted, Command, Effect, OperatorRequest, PeerMessage, Request
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.messages import JobState
 from fallpulley.jobs.persistence import JobPersistence
 from fallpulley.jobs.service import JOB_PREFIX, JobEntry, JobService
-from fallpulley.mesh.counts import CountsInTurn
-from fallpulley.mesh.messages import CalledOff, MachineRequest
-from fallpulley.mesh.peers import HEARTBEAT_S, Peers
+from fallpulley.mesh.counts import TaskCountRotation
+from fallpulley.mesh.messages import Cancellations, MachineRequest
+from fallpulley.mesh.peers import HEARTBEAT_SECONDS, Peers
 from fallpulley.placement.planner import Planner
 from fallpulley.settings import Settings
-from fallpulley.state.view import View
+from fallpulley.state.view import WatchCache
 from fallpulley.workers.checkins import HeartbeatHandler
 
 if TYPE_CHECKING:
@@ -41,44 +41,49 @@
 log = logging.getLogger(__name__)
 
 # How messages between standbys begin.
-STANDBY_TAGS = b'["standby_'
+STANDBY_TAG_PREFIX = b'["standby_'
 # A watch returns at least so often within a session: its return proves the copy fresh.
-HOLDS_PER_SESSION = 3.0
+WATCHES_PER_SESSION = 3.0
 # Machines, jobs and records are looked over so often within a report interval.
-TICK_REPORTS = 1.0 / 15.0
+TICK_INTERVALS = 1.0 / 15.0
 # The record's marks are compared with the machines when something changed that they tell of, and
 # else every so many report intervals: at every tick it took a tenth of a holder's time.
-MARK_REPORTS = 0.5
+OCCUPANCY_INTERVALS = 0.5
 
 # A controller that could read nothing for so long after its start calls that an outage.
 NEVER_READ_HEARTBEATS = 4.0
 # Without state service and peers for so many heartbeats, a controller calls itself cut off.
-ALONE_HEARTBEATS = 5.0
+ISOLATED_HEARTBEATS = 5.0
 
 
 class Controller:
-    def __init__(self, settings: Settings, boot: str, clock: Callable[[], float]) -> None:
-        self.core = Core(settings, boot, clock)
-        core = self.core
+    def __init__(self, settings: Settings, incarnation: str, clock: Callable[[], float]) -> None:
+        self.context = ControllerContext(settings, incarnation, clock)
+        context = self.context
         nodes = max(1, settings.facts.nodes)
         # Looks at the changes may use half of this controller's share of the requests.
         spacing_s = max(0.05, 2.0 * nodes / settings.facts.state.rps)
-        self.view = View(core.state, self._on_key, core.session_s / HOLDS_PER_SESSION, spacing_s)
+        self.watch = WatchCache(
+            context.state_client,
+            self._on_key_changed,
+            context.session_s / WATCHES_PER_SESSION,
+            spacing_s,
+        )
         self.registry = Registry()
-        self.jobs = JobService(core, self.view, self.registry)
-        self.session = SessionLease(core, self.view)
-        self.leadership = Leadership(core, self.view, self.registry, self.session)
-        self.writer = BlockWriter(core, self.view, self.registry)
-        self.provider = MachineProvider(core, self.view, self.registry, self.writer)
-        self.autoscaler = Autoscaler(core, self.registry, self.writer, self.provider)
-        self.job_persistence = JobPersistence(core)
-        self.peers = Peers(core)
+        self.jobs = JobService(context, self.watch, self.registry)
+        self.session = SessionLease(context, self.watch)
+        self.leadership = Leadership(context, self.watch, self.registry, self.session)
+        self.writer = ShardWriter(context, self.watch, self.registry)
+        self.provider = MachineProvider(context, self.watch, self.registry, self.writer)
+        self.autoscaler = Autoscaler(context, self.registry, self.writer, self.provider)
+        self.job_persistence = JobPersistence(context)
+        self.peers = Peers(context)
         self.standby = self._start_standby()
-        self.held: dict[str, HeldBlock] = {}
-        self.planner = Planner(core, self.registry, self.jobs)
-        self.marks = UsedMarks(core, self.writer)
-        self.balance = BlockBalance(
-            core,
+        self.shards: dict[str, Shard] = {}
+        self.planner = Planner(context, self.registry, self.jobs)
+        self.occupancy = OccupancyFlags(context, self.writer)
+        self.balancer = ShardBalancer(
+            context,
             self.registry,
             self.session,
             self.leadership,
@@ -87,415 +92,434 @@
             self.jobs,
             self.peers,
         )
-        self.checkins = HeartbeatHandler(
-            core,
-            self.view,
+        self.heartbeats = HeartbeatHandler(
+            context,
+            self.watch,
             self.registry,
             self.leadership,
             self.writer,
             self.provider,
-            self.held,
-            self.serving,
+            self.shards,
+            self.is_serving,
         )
         self.shares = self._start_shares()
         self.duties = self._start_duties()
-        self._formers: dict[str, list[Former]] = {}  # block -> holders before us
+        self._previous_owners: dict[str, list[PreviousOwner]] = {}  # block -> holders before us
         # Cancelled by word of a peer, while our copy of their records is from before.
-        self._called_off: set[str] = set()
+        self._cancelled: set[str] = set()
         self._started_at = 0.0
         self._machine_requests: dict[str, list[MachineRequest]] = {}  # by block
-        self._counts_in_turn = CountsInTurn()
+        self._counts_in_turn = TaskCountRotation()
         self._next_tick = float("-inf")
-        self._marks_at = float("-inf")
-        self._look_again = True  # plans or marks have changed what check-ins wait for
+        self._next_occupancy_at = float("-inf")
+        self._recheck_deferred = True  # plans or marks have changed what check-ins wait for
 
     # -- the batch -------------------------------------------------------------------------
 
-    def step(self, batch: list[Command], now: float, wall: float) -> list[Effect]:
-        core = self.core
-        core.now, core.wall = now, wall
+    def step(self, batch: list[Command], now: float, wall_time: float) -> list[Effect]:
+        context = self.context
+        context.now, context.wall_time = now, wall_time
         if self._started_at == 0.0:
             self._started_at = now
         for command in batch:
             try:
-                self._take(command)
+                self._handle_command(command)
             except Exception:
                 # One broken message must not end the process or lose the rest of the batch.
                 log.exception("command failed %s", type(command).__name__)
                 if isinstance(command, Request | OperatorRequest):
-                    core.answer(command.ticket, 503, b'{"error":"internal"}', 1.0)
-        for part in (self._tell_called_off, self._tick, self._plan, self._answer_checkins):
+                    context.respond(command.pending_response, 503, b'{"error":"internal"}', 1.0)
+        for part in (
+            self._announce_cancellations,
+            self._tick,
+            self._plan,
+            self._respond_to_deferred,
+        ):
             try:
                 part()
             except Exception:
                 # The next batch tries again; an end of the process would cost a takeover.
                 log.exception("step failed %s", part.__name__)
-        core.state.pump(now)
-        effects, core.effects[:] = list(core.effects), []
+        context.state_client.send_queued(now)
+        effects, context.outbox[:] = list(context.outbox), []
         return effects
 
-    def _take(self, command: Command) -> None:
-        if isinstance(command, Result):
-            command.done(command.status, command.body, command.sent_at)
+    def _handle_command(self, command: Command) -> None:
+        if isinstance(command, CallCompleted):
+            command.on_response(command.status, command.body, command.sent_at)
         elif isinstance(command, PeerMessage):
-            self._peer(command.body)
+            self._handle_peer_message(command.body)
         elif isinstance(command, OperatorRequest):
-            self._operators_request(command)
+            self._handle_operator_request(command)
         else:
-            self._request(command)
+            self._route_request(command)
 
-    def _request(self, request: Request) -> None:
+    def _route_request(self, request: Request) -> None:
         path = request.path.partition("?")[0]
-        pending_response, method = request.ticket, request.method
-        answer = self.core.answer
+        pending_response, method = request.pending_response, request.method
+        answer = self.context.respond
         if path == "/checkin":
             if method != "POST":
                 answer(pending_response, 405)
             else:
-                self.checkins.handle(pending_response, request.body)
+                self.heartbeats.handle(pending_response, request.body)
         elif path == "/up":
             if method not in ("GET", "HEAD"):
                 answer(pending_response, 405)
             else:
-                answer(pending_response, 200 if self.healthy() else 503)
+                answer(pending_response, 200 if self.is_healthy() else 503)
         elif path == "/work":
             if method != "POST":
                 answer(pending_response, 405)
             else:
                 self.jobs.submit(pending_response, request.body)
         elif path.startswith("/work/"):
-            job, _, verb = path[len("/work/") :].partition("/")
-            if verb == "" and method == "GET":
+            job, _, action = path[len("/work/") :].partition("/")
+            if action == "" and method == "GET":
                 self.jobs.query(pending_response, job)
-            elif verb == "abort" and method == "POST":
+            elif action == "abort" and method == "POST":
                 self.jobs.cancel(pending_response, job)
-            elif verb in ("", "abort"):
+            elif action in ("", "abort"):
                 answer(pending_response, 405)
             else:
                 answer(pending_response, 404)
         else:
             answer(pending_response, 404)
 
-    def _operators_request(self, request: OperatorRequest) -> None:
+    def _handle_operator_request(self, request: OperatorRequest) -> None:
         path = request.path.partition("?")[0]
         if path == "/shares" and self.shares is not None:
             self.shares.request(request)
         else:
-            self.core.answer(request.ticket, 404)
+            self.context.respond(request.pending_response, 404)
 
-    def fresh_s(self) -> float:
-        return self.core.now - self.view.fresh_at
+    def staleness_s(self) -> float:
+        return self.context.now - self.watch.fresh_at
 
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """All but a controller that alone has lost the state service can take requests.
 
         One that reaches neither the state service nor any peer cannot tell an outage from being
         cut off: users are better served by others. In an outage seen by all, peers are heard.
         """
-        core = self.core
-        last = max(self.view.fresh_at, self._started_at)
+        context = self.context
+        last = max(self.watch.fresh_at, self._started_at)
         if (
-            core.settings.seeds
-            and core.now - last > ALONE_HEARTBEATS * HEARTBEAT_S
-            and self.peers.none()
+            context.settings.peers
+            and context.now - last > ISOLATED_HEARTBEATS * HEARTBEAT_SECONDS
+            and self.peers.has_no_live_peer()
         ):
             return False
-        if self.view.ready:
-            return not self.peers.left_behind(self.view.fresh_at)
+        if self.watch.ready:
+            return not self.peers.is_stale(self.watch.fresh_at)
         # Nothing read yet: healthy only if nobody else can read either.
-        waited = core.now - self._started_at > NEVER_READ_HEARTBEATS * HEARTBEAT_S
-        return waited and not self.peers.left_behind(self._started_at - HEARTBEAT_S)
+        waited = context.now - self._started_at > NEVER_READ_HEARTBEATS * HEARTBEAT_SECONDS
+        return waited and not self.peers.is_stale(self._started_at - HEARTBEAT_SECONDS)
 
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Within the answer window: nobody can have proved our machines empty yet."""
-        last = min(self.session.renewed_at, self.view.fresh_at)
-        return self.core.now < last + self.core.window_s
+        last = min(self.session.renewed_at, self.watch.fresh_at)
+        return self.context.now < last + self.context.response_window_s
 
     def _start_standby(self) -> Standby | None:
         """Only a controller that is to have one loads what a standby needs."""
-        if not self.core.settings.operators.standby.enabled:
+        if not self.context.settings.operators.standby.enabled:
             return None
         from fallpulley.standby.service import Standby
 
-        standby = Standby(self.core, self.registry, self.peers.send)
+        standby = Standby(self.context, self.registry, self.peers.send)
         self.leadership.hold_off_s = standby.hold_off_s
         return standby
 
     def _start_shares(self) -> SharesService | None:
         """Only a controller that is to have them loads what shares need."""
-        if not self.core.settings.operators.shares.enabled:
+        if not self.context.settings.operators.shares.enabled:
             return None
         from fallpulley.shares.service import SharesService
 
         shares = SharesService(
-            self.core,
-            self.view,
+            self.context,
+            self.watch,
             self.registry,
             self.session,
             self.leadership,
             self.writer,
             self.jobs,
-            self.held,
+            self.shards,
         )
-        self.jobs.block_of_team = shares.block_of_team
-        self.leadership.blocks_to_open = shares.blocks_to_open
-        self.provider.shard_for_rental = shares.block_for_rental
+        self.jobs.shard_of_team = shares.shard_of_team
+        self.leadership.shards_to_open = shares.shards_to_open
+        self.provider.shard_for_rental = shares.shard_for_rental
         return shares
 
     def _start_duties(self) -> DutiesService | None:
         """Only a controller that is to have them loads what duties need."""
-        if not self.core.settings.operators.duties.enabled:
+        if not self.context.settings.operators.duties.enabled:
             return None
         from fallpulley.duties.service import DutiesService
 
         duties = DutiesService(
-            self.core,
-            self.view,
+            self.context,
+            self.watch,
             self.registry,
             self.session,
             self.leadership,
             self.provider,
-            self.held,
+            self.shards,
         )
         self.provider.action_guard = duties
         return duties
 
-    def _peer(self, body: bytes) -> None:
-        if body.startswith(STANDBY_TAGS):
+    def _handle_peer_message(self, body: bytes) -> None:
+        if body.startswith(STANDBY_TAG_PREFIX):
             if self.standby is not None:
-                self.standby.take(body)
+                self.standby.receive(body)
             return
-        heartbeat = self.peers.take(body)
-        if isinstance(heartbeat, CalledOff):
-            self._call_off(heartbeat.jobs)
+        heartbeat = self.peers.receive(body)
+        if isinstance(heartbeat, Cancellations):
+            self._stop_cancelled(heartbeat.job_ids)
             return
         if heartbeat is None:
             return
-        for job, done, running in heartbeat.counts:
+        for job, completed, running in heartbeat.task_counts:
             if job in self.jobs.entries and self.jobs.entries[job].state == JobState.OPEN:
-                self.jobs.task_counts[job] = (done, running)
+                self.jobs.task_counts[job] = (completed, running)
         leader = self.registry.leader
-        if leader is not None and heartbeat.boot == leader[0].boot:
-            self.provider.target_sizes = heartbeat.targets
+        if leader is not None and heartbeat.incarnation == leader[0].incarnation:
+            self.provider.target_sizes = heartbeat.target_sizes
         if self.leadership.term is not None:
             for request in heartbeat.machine_requests:
-                if request.block in self.registry.blocks and request.count > 0:
+                if request.shard_id in self.registry.shards and request.count > 0:
                     self.provider.scale_out(
-                        request.block,
+                        request.shard_id,
                         request.machine_type,
                         request.zone,
                         request.spot,
                         request.count,
                     )
 
-    def _tell_called_off(self) -> None:
+    def _announce_cancellations(self) -> None:
         """What has just been cancelled here goes to its block's holder, by record or by word."""
         jobs, self.jobs.newly_cancelled = self.jobs.newly_cancelled, []
-        by_holder: dict[str, list[str]] = {}
+        by_owner: dict[str, list[str]] = {}
         for job in jobs:
             entry = self.jobs.entries.get(job)
-            holder = self.registry.holder_of(entry.block) if entry is not None else None
-            if holder == self.core.label:
-                self._call_off([job])
-            elif holder is not None:
-                by_holder.setdefault(holder, []).append(job)
-        for holder, told in by_holder.items():
-            self.peers.tell(holder, told)
-
-    def _call_off(self, jobs: list[str]) -> None:
+            owner = self.registry.owner_of(entry.shard_id) if entry is not None else None
+            if owner == self.context.controller_id:
+                self._stop_cancelled([job])
+            elif owner is not None:
+                by_owner.setdefault(owner, []).append(job)
+        for owner, cancelled_ids in by_owner.items():
+            self.peers.send_cancellations(owner, cancelled_ids)
+
+    def _stop_cancelled(self, jobs: list[str]) -> None:
         """The cancellation is durable, so it holds whatever our own copy still shows."""
         for job in jobs:
-            for held in self.held.values():
-                open_job = held.jobs.get(job)
+            for shard in self.shards.values():
+                open_job = shard.jobs.get(job)
                 if open_job is not None and not open_job.cancelled:
-                    self._called_off.add(job)
-                    held.end_job(open_job, True)
+                    self._cancelled.add(job)
+                    shard.end_job(open_job, True)
 
-    def _add_job(self, held: HeldBlock, job: str, entry: JobEntry) -> None:
-        if entry.record is not None and job not in self._called_off:
-            held.add_job(job, entry.record, entry.mod_revision, self.jobs.pipelines.node(job))
+    def _add_job(self, shard: Shard, job: str, entry: JobEntry) -> None:
+        if entry.record is not None and job not in self._cancelled:
+            shard.add_job(job, entry.record, entry.mod_revision, self.jobs.pipelines.node(job))
 
     # -- shared records --------------------------------------------------------------------
 
-    def _on_key(self, key: str, value: bytes | None, stamp: int) -> None:
+    def _on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
         if key.startswith(JOB_PREFIX):
-            self._on_job(key[len(JOB_PREFIX) :], value, stamp)
+            self._on_job_record(key[len(JOB_PREFIX) :], value, mod_revision)
             return
-        if key == SHARES:
+        if key == SHARES_KEY:
             if self.shares is not None:
                 self.shares.on_record(value)
             return
-        if self.duties is not None and self.duties.knows(key):
-            self.duties.on_key(key, value, stamp)
+        if self.duties is not None and self.duties.owns_key(key):
+            self.duties.on_key_changed(key, value, mod_revision)
             return
-        holders = {label: entry[0] for label, entry in self.registry.blocks.items()}
-        block = self.registry.on_key(key, value, stamp)
-        if block is not None:
-            previous = holders.get(block)
-            self._on_block(block, (previous.holder, previous.boot) if previous else None)
-            self._share_writes()
-        elif key.startswith(SESSIONS):
-            self._check_old_holders()
+        owners = {controller_id: entry[0] for controller_id, entry in self.registry.shards.items()}
+        shard_id = self.registry.on_key_changed(key, value, mod_revision)
+        if shard_id is not None:
+            previous = owners.get(shard_id)
+            self._on_shard_changed(
+                shard_id, (previous.owner, previous.incarnation) if previous else None
+            )
+            self._update_change_share()
+        elif key.startswith(SESSION_PREFIX):
+            self._check_previous_owners()
             if value is not None and self.standby is not None:
-                self.standby.session_began(key[len(SESSIONS) :])
-        elif key == FORMAT:
-            self.core.begin_format(self.registry.format)
-            self._share_writes()
+                self.standby.session_began(key[len(SESSION_PREFIX) :])
+        elif key == FORMAT_KEY:
+            self.context.adopt_format(self.registry.record_format)
+            self._update_change_share()
 
-    def _on_job(self, job: str, value: bytes | None, stamp: int) -> None:
-        if self.jobs.on_record(job, value, stamp) is None:
+    def _on_job_record(self, job: str, value: bytes | None, mod_revision: int) -> None:
+        if self.jobs.on_record(job, value, mod_revision) is None:
             return
-        touched, self.jobs.affected_jobs = self.jobs.affected_jobs, set()
-        for name in {job} | touched:
-            self._settle_job(name)
+        affected, self.jobs.affected_jobs = self.jobs.affected_jobs, set()
+        for name in {job} | affected:
+            self._sync_job(name)
 
-    def _settle_job(self, job: str) -> None:
+    def _sync_job(self, job: str) -> None:
         """Bring what its block's holder has of a job up to its record, and to others' records."""
         entry = self.jobs.entries[job]
-        held = self.held.get(entry.block)
-        if held is None:
+        shard = self.shards.get(entry.shard_id)
+        if shard is None:
             return
-        open_job = held.jobs.get(job)
+        open_job = shard.jobs.get(job)
         if entry.record is None:
-            self._called_off.discard(job)
+            self._cancelled.discard(job)
             if open_job is not None:
-                held.end_job(open_job, entry.state == JobState.CANCELLED)
+                shard.end_job(open_job, entry.state == JobState.CANCELLED)
         elif open_job is None:
-            self._add_job(held, job, entry)
+            self._add_job(shard, job, entry)
         else:
             open_job.dependency_node = self.jobs.pipelines.node(job)
-            held.dirty = True
+            shard.needs_replan = True
 
-    def _share_writes(self) -> None:
+    def _update_change_share(self) -> None:
         """Holders write most. A version in production that knows equal shares alone may run until
         the newer format begins."""
-        if not self.core.newer_format:
+        if not self.context.compact_format:
             return
-        holders = {record.holder for record, _ in self.registry.blocks.values()}
-        nodes = max(1, self.core.settings.facts.nodes)
-        self.core.state.changes.take_share(write_share(self.core.label, holders, nodes))
-
-    def _on_block(self, label: str, previous: tuple[str, str] | None) -> None:
-        core = self.core
-        entry = self.registry.blocks.get(label)
-        held = self.held.get(label)
-        ours = entry is not None and (entry[0].holder, entry[0].boot) == (core.label, core.boot)
+        owners = {record.owner for record, _ in self.registry.shards.values()}
+        nodes = max(1, self.context.settings.facts.nodes)
+        self.context.state_client.change_budget.set_share(
+            change_share(self.context.controller_id, owners, nodes)
+        )
+
+    def _on_shard_changed(self, controller_id: str, previous: tuple[str, str] | None) -> None:
+        context = self.context
+        entry = self.registry.shards.get(controller_id)
+        shard = self.shards.get(controller_id)
+        ours = entry is not None and (entry[0].owner, entry[0].incarnation) == (
+            context.controller_id,
+            context.incarnation,
+        )
         if not ours or entry is None:
-            if held is not None:
-                log.info("block lost block=%s term=%d", label, held.token)
-                del self.held[label]
-                self.writer.drop_block(label)
+            if shard is not None:
+                log.info("block lost block=%s term=%d", controller_id, shard.fencing_token)
+                del self.shards[controller_id]
+                self.writer.forget_shard(controller_id)
                 if self.standby is not None:
-                    self.standby.block_lost(label)
+                    self.standby.shard_lost(controller_id)
             return
-        record, stamp = entry
-        if held is not None:
-            held.update(record, stamp)
+        record, mod_revision = entry
+        if shard is not None:
+            shard.apply_record(record, mod_revision)
             if self.duties is not None:
-                self.duties.block_held(held)
+                self.duties.shard_acquired(shard)
             return
-        held = HeldBlock(core, label, record, stamp, fresh=previous is None)
-        self.held[label] = held
-        self._formers[label] = record.earlier
+        shard = Shard(context, controller_id, record, mod_revision, fresh=previous is None)
+        self.shards[controller_id] = shard
+        self._previous_owners[controller_id] = record.previous_owners
         log.info(
             "block held block=%s term=%d machines=%d from=%s",
-            label,
-            stamp,
+            controller_id,
+            mod_revision,
             len(record.machines),
             previous,
         )
-        for job in self.jobs.open_by_block.get(label, ()):
-            self._add_job(held, job, self.jobs.entries[job])
+        for job in self.jobs.open_by_shard.get(controller_id, ()):
+            self._add_job(shard, job, self.jobs.entries[job])
         if self.duties is not None:
-            self.duties.block_held(held)
+            self.duties.shard_acquired(shard)
         if self.standby is not None:
-            self.standby.block_held(held, previous)
-        self._check_old_holders()
+            self.standby.shard_acquired(shard, previous)
+        self._check_previous_owners()
 
-    def _check_old_holders(self) -> None:
+    def _check_previous_owners(self) -> None:
         """Once every former holder's process has ended, nobody else answers a block's machines."""
-        core = self.core
-        for label, held in self.held.items():
-            formers = self._formers.get(label)
-            if not held.unconfirmed or formers is None:
+        context = self.context
+        for controller_id, shard in self.shards.items():
+            previous_owners = self._previous_owners.get(controller_id)
+            if not shard.unreconciled or previous_owners is None:
                 continue
-            if all(self.registry.ended(former, core.label, core.boot) for former in formers):
-                held.old_holders_ended()
-                del self._formers[label]
+            if all(
+                self.registry.has_ended(previous, context.controller_id, context.incarnation)
+                for previous in previous_owners
+            ):
+                shard.on_previous_owners_ended()
+                del self._previous_owners[controller_id]
 
     # -- ticks -----------------------------------------------------------------------------
 
     def _tick(self) -> None:
-        self.view.tick(self.core.now)
+        self.watch.tick(self.context.now)
         self.session.tick()
         if self.standby is not None:
             self.standby.tick()
-        self.checkins.retry_parked()
+        self.heartbeats.retry_parked()
         # What looks at every machine and job runs by the clock, not with every batch.
-        if self.core.now < self._next_tick:
+        if self.context.now < self._next_tick:
             return
-        self._next_tick = self.core.now + TICK_REPORTS * self.core.report_s
-        self._look_again = True
+        self._next_tick = self.context.now + TICK_INTERVALS * self.context.report_s
+        self._recheck_deferred = True
         self.leadership.tick()
         term = self.leadership.term
         if self.duties is not None:
             self.duties.tick()
         if term is not None:
             self.provider.tick(term)
-        marks_due = self.core.now >= self._marks_at
+        marks_due = self.context.now >= self._next_occupancy_at
         if marks_due:
-            self._marks_at = self.core.now + MARK_REPORTS * self.core.report_s
-        for held in self.held.values():
-            held.expire_leases(self.view.fresh_at)
-            held.stop_broken()
-            self.balance.give_if_unheard(held)
+            self._next_occupancy_at = self.context.now + OCCUPANCY_INTERVALS * self.context.report_s
+        for shard in self.shards.values():
+            shard.expire_leases(self.watch.fresh_at)
+            shard.stop_broken_gangs()
+            self.balancer.hand_off_if_unheard(shard)
             if marks_due:
-                self.marks.compare(held)
-            elif held.marks_due:
-                self.marks.follow(held)
-            if held.unconfirmed:
-                held.fencing.tick(self.writer.addresses)
-            if held.formers_silent():
-                self.writer.alone.add(held.label)
-            if held.touch or (self.core.newer_format and held.label in self.registry.older):
-                self.writer.touching.add(held.label)
+                self.occupancy.update_all(shard)
+            elif shard.occupancy_due:
+                self.occupancy.update_due(shard)
+            if shard.unreconciled:
+                shard.fencing.tick(self.writer.addresses)
+            if shard.previous_owners_expired():
+                self.writer.sole_owners.add(shard.shard_id)
+            if shard.needs_new_revision or (
+                self.context.compact_format and shard.shard_id in self.registry.first_format_shards
+            ):
+                self.writer.needs_new_revision.add(shard.shard_id)
             self.job_persistence.tick(
-                held, self.jobs.cancelled_with_dependencies.get(held.label, {})
+                shard, self.jobs.cancelled_with_dependencies.get(shard.shard_id, {})
             )
-            if self.session.live():
-                if held.unconfirmed and term is not None:
-                    self.autoscaler.confirm_unreachable_gone(held)
-                machine_requests = self.autoscaler.tick(held, term is not None)
+            if self.session.is_live():
+                if shard.unreconciled and term is not None:
+                    self.autoscaler.confirm_unreachable_gone(shard)
+                machine_requests = self.autoscaler.tick(shard, term is not None)
                 if machine_requests:
-                    self._machine_requests[held.label] = machine_requests
+                    self._machine_requests[shard.shard_id] = machine_requests
         if self.shares is not None:
             self.shares.tick()
         self.writer.tick()
-        if self.peers.due():
+        if self.peers.is_due():
             counts = self._counts()
             if term is not None:
-                self.provider.target_sizes = self.balance.target_sizes()
+                self.provider.target_sizes = self.balancer.target_sizes()
             if self.shares is None:
-                self.balance.hand_over(self.held)
+                self.balancer.rebalance(self.shards)
             machine_requests = [
-                request for block in self._machine_requests.values() for request in block
+                request for shard_id in self._machine_requests.values() for request in shard_id
             ]
-            self.peers.tick(self.fresh_s(), counts, machine_requests, self.provider.target_sizes)
+            self.peers.tick(
+                self.staleness_s(), counts, machine_requests, self.provider.target_sizes
+            )
             self._machine_requests = {}
 
     def _counts(self) -> list[tuple[str, int, int]]:
         counts = {}
-        for held in self.held.values():
-            for job in held.jobs.values():
+        for shard in self.shards.values():
+            for job in shard.jobs.values():
                 if not job.cancelled:
                     counts[job.job_id] = (job.completed_count, len(job.runs))
         self.jobs.task_counts.update(counts)
-        return self._counts_in_turn.choose(counts)
+        return self._counts_in_turn.next_entries(counts)
 
     def _plan(self) -> None:
-        if self.view.ready and self.planner.plan(self.held):
-            self._look_again = True
+        if self.watch.ready and self.planner.plan(self.shards):
+            self._recheck_deferred = True
 
-    def _answer_checkins(self) -> None:
-        look_again, self._look_again = self._look_again, False
-        self.checkins.respond_to_deferred(look_again)
+    def _respond_to_deferred(self) -> None:
+        look_again, self._recheck_deferred = self._recheck_deferred, False
+        self.heartbeats.respond_to_deferred(look_again)
--- a/fallpulley/duties/board.py
+++ b/fallpulley/duties/board.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from fallpulley.duties.messages import DUTIES, DutyRecord, Intent, Return
+from fallpulley.duties.messages import DUTY_PREFIX, DutyRecord, Intent, Return
 
 log = logging.getLogger(__name__)
 
 
-class Board:
+class DutyRegistry:
     """Who does what, and which actions may be under way, the oldest first."""
 
     def __init__(self) -> None:
@@ -19,14 +19,14 @@
         self.intents: dict[str, tuple[Intent, int]] = {}  # by key, with their stamps
         self.returning: dict[str, str] = {}  # machine -> the intent that returns it
 
-    def on_key(self, key: str, value: bytes | None, stamp: int) -> list[str]:
+    def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> list[str]:
         """Take a record; returns the machines that are to be used no more, or may be again."""
-        if key.startswith(DUTIES):
-            self._on_duty(key[len(DUTIES) :], value, stamp)
+        if key.startswith(DUTY_PREFIX):
+            self._on_duty_record(key[len(DUTY_PREFIX) :], value, mod_revision)
             return []
-        return self._on_intent(key, value, stamp)
+        return self._on_intent_record(key, value, mod_revision)
 
-    def _on_duty(self, name: str, value: bytes | None, stamp: int) -> None:
+    def _on_duty_record(self, name: str, value: bytes | None, mod_revision: int) -> None:
         record = None
         if value is not None:
             try:
@@ -36,10 +36,10 @@
         if record is None:
             self.duties.pop(name, None)
             return
-        self.duties[name] = (record, stamp)
-        log.info("duty held duty=%s by=%s term=%d", name, record.holder, stamp)
+        self.duties[name] = (record, mod_revision)
+        log.info("duty held duty=%s by=%s term=%d", name, record.owner, mod_revision)
 
-    def _on_intent(self, key: str, value: bytes | None, stamp: int) -> list[str]:
+    def _on_intent_record(self, key: str, value: bytes | None, mod_revision: int) -> list[str]:
         changed = []
         gone = self.intents.pop(key, None)
         if gone is not None and isinstance(gone[0].action, Return):
@@ -54,12 +54,12 @@
         except msgspec.MsgspecError:
             log.error("state broken record intent=%s", key)
             return changed
-        self.intents[key] = (intent, stamp)
+        self.intents[key] = (intent, mod_revision)
         if isinstance(intent.action, Return):
             self.returning.update(dict.fromkeys(intent.action.machine_ids, key))
             changed += intent.action.machine_ids
         return changed
 
-    def open_before(self, duty: str, token: int) -> bool:
+    def has_unresolved_intent(self, duty: str, token: int) -> bool:
         """An intent of the duty's former holder is not settled yet."""
         return any(i.duty == duty and i.token != token for i, _ in self.intents.values())
--- a/fallpulley/duties/messages.py
+++ b/fallpulley/duties/messages.py
@@ -6,27 +6,27 @@
 
 from fallpulley.fleet.messages import RentalRequest
 
-DUTIES, INTENTS = "live/duty/", "live/intent/"
+DUTY_PREFIX, INTENT_PREFIX = "live/duty/", "live/intent/"
 
 RENTING = "renting"  # machines are rented
 RETURNING = "returning"  # machines are returned to the cloud
 RECLAIMING = "reclaiming"  # machines that no record knows are adopted, or returned
 CLEANING = "cleaning"  # records that are of no use any more are dropped
-NAMES = (RENTING, RETURNING, RECLAIMING, CLEANING)
+DUTIES = (RENTING, RETURNING, RECLAIMING, CLEANING)
 
 
-class DutyRecord(msgspec.Struct, frozen=True):
+class DutyRecord(msgspec.Struct, frozen=True, rename={"owner": "holder", "incarnation": "boot"}):
     """`live/duty/<name>`, attached to its holder's lease: who does it. Its stamp is the token."""
 
-    holder: str
-    boot: str
+    owner: str
+    incarnation: str
 
 
-class Rent(msgspec.Struct, frozen=True, tag="rent"):
+class Rent(msgspec.Struct, frozen=True, tag="rent", rename={"shard_id": "block"}):
     """Rent machines for a block, under a name that is never used for anything else."""
 
     request: RentalRequest
-    block: str
+    shard_id: str
 
 
 class Return(msgspec.Struct, frozen=True, tag="return", rename={"machine_ids": "hosts"}):
@@ -45,9 +45,9 @@
 
 def duty_key(name: str) -> str:
     """Where it is recorded who does a duty."""
-    return DUTIES + name
+    return DUTY_PREFIX + name
 
 
 def intent_key(duty: str, token: int, number: int) -> str:
     """A key of its own for each action."""
-    return f"{INTENTS}{duty}/{token}-{number}"
+    return f"{INTENT_PREFIX}{duty}/{token}-{number}"
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.blocks.leadership import Leadership
-from fallpulley.blocks.registry import BLOCKS, LEADER, Registry
+from fallpulley.blocks.registry import LEADER_KEY, SHARD_PREFIX, Registry
 from fallpulley.blocks.session import SessionLease
-from fallpulley.core import Core
-from fallpulley.duties.board import Board
+from fallpulley.core import ControllerContext
+from fallpulley.duties.board import DutyRegistry
 from fallpulley.duties.messages import (
     CLEANING,
     DUTIES,
-    INTENTS,
-    NAMES,
+    DUTY_PREFIX,
+    INTENT_PREFIX,
     RECLAIMING,
     RENTING,
     RETURNING,
@@ -35,16 +35,16 @@
 from fallpulley.fleet.messages import RentalRequest
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.state.client import Change, RequestPriority, Write
-from fallpulley.state.view import View
+from fallpulley.state.view import WatchCache
 
 log = logging.getLogger(__name__)
 
 # A write that has not gone out by then is given up, and decided anew.
-WRITE_WAIT_S = 2.0
+MAX_WRITE_WAIT_SECONDS = 2.0
 # A duty that could not be taken is tried again after so long.
-RETRY_S = 0.5
+CLAIM_RETRY_SECONDS = 0.5
 # Machines in one intent, if their names leave it below this share of a value.
-INTENT_SHARE = 0.5
+MAX_INTENT_SHARE = 0.5
 
 
 class DutiesService:
@@ -52,64 +52,70 @@
 
     def __init__(
         self,
-        core: Core,
-        view: View,
+        context: ControllerContext,
+        watch: WatchCache,
         registry: Registry,
         session: SessionLease,
         leadership: Leadership,
         provider: MachineProvider,
-        held: dict[str, HeldBlock],
+        shard: dict[str, Shard],
     ) -> None:
-        self.core = core
-        self.view = view
+        self.context = context
+        self.watch = watch
         self.registry = registry
         self.session = session
         self.leadership = leadership
         self.provider = provider
-        self.held = held
-        self.board = Board()
-        self._number = 0
-        self._writing: set[str] = set()  # intents that are being written, by what they are for
-        self._dropping: set[str] = set()
-        self._taking: dict[str, float] = {}  # duty -> until when an answer is awaited
-        self._written: dict[str, int] = {}  # what was recorded, until our copy shows it
+        self.shards = shard
+        self.registry_of_duties = DutyRegistry()
+        self._intent_count = 0
+        self._intents_in_flight: set[str] = (
+            set()
+        )  # intents that are being written, by what they are for
+        self._deleting: set[str] = set()
+        self._claiming_until: dict[str, float] = {}  # duty -> until when an answer is awaited
+        self._visible_from: dict[str, int] = {}  # what was recorded, until our copy shows it
 
     # -- records ---------------------------------------------------------------------------
 
     @staticmethod
-    def knows(key: str) -> bool:
+    def owns_key(key: str) -> bool:
         """Whether the record is one of duties."""
-        return key.startswith((DUTIES, INTENTS))
+        return key.startswith((DUTY_PREFIX, INTENT_PREFIX))
 
-    def on_key(self, key: str, value: bytes | None, stamp: int) -> None:
+    def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
         """A record as the watch brings it."""
-        changed = self.board.on_key(key, value, stamp)
+        changed = self.registry_of_duties.on_key_changed(key, value, mod_revision)
         if value is None:
-            self._dropping.discard(key)
+            self._deleting.discard(key)
         for machine_id in changed:
-            self._mark_returning(machine_id)
+            self._mark_release_decided(machine_id)
 
-    def _mark_returning(self, machine_id: str) -> None:
+    def _mark_release_decided(self, machine_id: str) -> None:
         """Nobody places on a machine that may be returned at any moment."""
-        held = self.held.get(self.registry.shard_of_machine.get(machine_id, ""))
-        machine = held.machines.get(machine_id) if held is not None else None
-        if held is None or machine is None:
+        shard = self.shards.get(self.registry.shard_of_machine.get(machine_id, ""))
+        machine = shard.machines.get(machine_id) if shard is not None else None
+        if shard is None or machine is None:
             return
-        machine.release_decided = machine_id in self.board.returning
-        held.booked.pop(machine_id, None)
-        held.dirty = True
+        machine.release_decided = machine_id in self.registry_of_duties.returning
+        shard.bookings.pop(machine_id, None)
+        shard.needs_replan = True
 
-    def block_held(self, held: HeldBlock) -> None:
+    def shard_acquired(self, shard: Shard) -> None:
         """A block is ours from now on; some of its machines may be on their way back."""
-        for machine_id in self.board.returning.keys() & held.machines.keys():
-            held.machines[machine_id].release_decided = True
+        for machine_id in self.registry_of_duties.returning.keys() & shard.machines.keys():
+            shard.machines[machine_id].release_decided = True
 
     # -- holding ---------------------------------------------------------------------------
 
     def token(self, name: str) -> int | None:
         """The token under which we do a duty now; None: we do not."""
-        entry = self.board.duties.get(name)
-        if entry is None or entry[0].boot != self.core.boot or not self.session.live():
+        entry = self.registry_of_duties.duties.get(name)
+        if (
+            entry is None
+            or entry[0].incarnation != self.context.incarnation
+            or not self.session.is_live()
+        ):
             return None
         return entry[1]
 
@@ -119,44 +125,46 @@
 
     def tick(self) -> None:
         """Take what is free as the leader, and go on with what predecessors have left open."""
-        for what, ledger in list(self._written.items()):
-            if self.view.ledger >= ledger:
-                del self._written[what]
-        if not self.view.ready or self.leadership.term is None:
+        for what, revision in list(self._visible_from.items()):
+            if self.watch.revision >= revision:
+                del self._visible_from[what]
+        if not self.watch.ready or self.leadership.term is None:
             return
-        for name in NAMES:
+        for name in DUTIES:
             if not self.holds(name):
-                self._take(name)
+                self._claim(name)
         if self.holds(RENTING):
-            for name, (intent, _) in self.board.intents.items():
-                if isinstance(intent.action, Rent) and name not in self._dropping:
-                    self.provider.resume_rental(intent.action.request, intent.action.block)
+            for name, (intent, _) in self.registry_of_duties.intents.items():
+                if isinstance(intent.action, Rent) and name not in self._deleting:
+                    self.provider.resume_rental(intent.action.request, intent.action.shard_id)
 
-    def _take(self, name: str) -> None:
+    def _claim(self, name: str) -> None:
         """Conditioned on the leadership and the session, which end with one lease."""
-        now = self.core.now
-        if now < self._taking.get(name, float("-inf")):
+        now = self.context.now
+        if now < self._claiming_until.get(name, float("-inf")):
             return
-        self._taking[name] = now + WRITE_WAIT_S
+        self._claiming_until[name] = now + MAX_WRITE_WAIT_SECONDS
         key = duty_key(name)
         conditions = {
-            key: self.view.stamp(key),
-            LEADER: self.view.stamp(LEADER),
-            self.session.key: self.view.stamp(self.session.key),
+            key: self.watch.mod_revision(key),
+            LEADER_KEY: self.watch.mod_revision(LEADER_KEY),
+            self.session.key: self.watch.mod_revision(self.session.key),
         }
-        value = msgspec.json.encode(DutyRecord(self.core.label, self.core.boot))
+        value = msgspec.json.encode(
+            DutyRecord(self.context.controller_id, self.context.incarnation)
+        )
 
-        def written(status: int | None, ledger: int) -> None:
-            self._taking[name] = self.core.now + RETRY_S
+        def on_result(status: int | None, revision: int) -> None:
+            self._claiming_until[name] = self.context.now + CLAIM_RETRY_SECONDS
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
                 conditions,
-                [Change(key, value, self.session.tenure)],
-                written,
+                [Change(key, value, self.session.lease_id)],
+                on_result,
                 RequestPriority.RENEWAL,
-                alone=True,
-                expires_at=now + WRITE_WAIT_S,
+                isolated=True,
+                expires_at=now + MAX_WRITE_WAIT_SECONDS,
             )
         )
 
@@ -171,27 +179,27 @@
         token = self.token(CLEANING)
         return None if token is None else {duty_key(CLEANING): token}
 
-    def may_scale_out(self, request: RentalRequest, block: str) -> bool:
+    def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
         """The rental is recorded, and its duty ours; if it is not recorded yet, it will be."""
         token = self.token(RENTING)
         if token is None:
             return False
-        if self._rentals(request.request_id):
+        if self._rental_intents(request.request_id):
             return True
-        if not self.board.open_before(RENTING, token):
-            self._intend(RENTING, token, Rent(request, block), request.request_id, {})
+        if not self.registry_of_duties.has_unresolved_intent(RENTING, token):
+            self._write_intent(RENTING, token, Rent(request, shard_id), request.request_id, {})
         return False
 
     def on_rental_resolved(self, request_id: str) -> None:
         """The cloud has answered for good."""
-        for name in self._rentals(request_id):
-            self._drop(name)
+        for name in self._rental_intents(request_id):
+            self._delete_intent(name)
 
-    def _rentals(self, request_id: str) -> list[str]:
+    def _rental_intents(self, request_id: str) -> list[str]:
         """The intents of a rental: two, where the answer to the first was lost."""
         return [
             name
-            for name, (intent, _) in self.board.intents.items()
+            for name, (intent, _) in self.registry_of_duties.intents.items()
             if isinstance(intent.action, Rent) and intent.action.request.request_id == request_id
         ]
 
@@ -201,13 +209,13 @@
         token = self.token(RETURNING)
         if token is None:
             return []
-        for name, (intent, _) in self.board.intents.items():
-            if isinstance(intent.action, Return) and name not in self._dropping:
+        for name, (intent, _) in self.registry_of_duties.intents.items():
+            if isinstance(intent.action, Return) and name not in self._deleting:
                 return intent.action.machine_ids
-        self._intend_return(token, machine_ids)
+        self._intend_release(token, machine_ids)
         return []
 
-    def _intend_return(self, token: int, machine_ids: list[str]) -> None:
+    def _intend_release(self, token: int, machine_ids: list[str]) -> None:
         """Machines of a block are returned as proof only by its holder, on the record's stamp: any
         later holder sees the intent before it has the block."""
         conditions: dict[str, int] = {}
@@ -217,80 +225,80 @@
             if label is None:
                 batch.append(machine_id)
                 continue
-            held = self.held.get(label)
-            decided = held is not None and held.machines[machine_id].release_decided
-            if held is None or not (decided or machine_id in held.unconfirmed):
+            shard = self.shards.get(label)
+            decided = shard is not None and shard.machines[machine_id].release_decided
+            if shard is None or not (decided or machine_id in shard.unreconciled):
                 self.provider.release_requested.discard(
                     machine_id
                 )  # somebody else's by now, or it reported
                 continue
-            held.machines[machine_id].release_decided = True
-            conditions[BLOCKS + label] = held.token
+            shard.machines[machine_id].release_decided = True
+            conditions[SHARD_PREFIX + label] = shard.fencing_token
             batch.append(machine_id)
-        batch = self._fitting(batch)
+        batch = self._limit_to_value(batch)
         if batch:
-            self._intend(RETURNING, token, Return(batch), RETURNING, conditions)
+            self._write_intent(RETURNING, token, Return(batch), RETURNING, conditions)
 
-    def _fitting(self, machine_ids: list[str]) -> list[str]:
-        room = INTENT_SHARE * self.core.value_bytes
+    def _limit_to_value(self, machine_ids: list[str]) -> list[str]:
+        room = MAX_INTENT_SHARE * self.context.value_bytes
         while len(machine_ids) > 1 and len(msgspec.json.encode(machine_ids)) > room:
             machine_ids = machine_ids[: len(machine_ids) // 2]
         return machine_ids
 
     def on_released(self, machine_ids: list[str]) -> None:
         """The cloud has confirmed that the machines are gone."""
-        for name, (intent, _) in list(self.board.intents.items()):
+        for name, (intent, _) in list(self.registry_of_duties.intents.items()):
             if isinstance(intent.action, Return) and set(intent.action.machine_ids) <= set(
                 machine_ids
             ):
-                self._drop(name)
+                self._delete_intent(name)
 
     # -- intents ---------------------------------------------------------------------------
 
-    def _intend(
+    def _write_intent(
         self, duty: str, token: int, action: Rent | Return, what: str, conditions: dict[str, int]
     ) -> None:
         """Record an action under our token. It goes out once our copy of the records has it."""
-        if what in self._writing or what in self._written:
+        if what in self._intents_in_flight or what in self._visible_from:
             return
-        self._writing.add(what)
-        self._number += 1
+        self._intents_in_flight.add(what)
+        self._intent_count += 1
         value = msgspec.json.encode(Intent(duty, token, action))
 
-        def written(status: int | None, ledger: int) -> None:
+        def on_result(status: int | None, revision: int) -> None:
             # Where no answer came, the record shows it or not; a late one is settled as any other.
-            self._writing.discard(what)
+            self._intents_in_flight.discard(what)
             if status == 200:
-                self._written[what] = ledger
+                self._visible_from[what] = revision
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
                 {duty_key(duty): token, **conditions},
-                [Change(intent_key(duty, token, self._number), value)],
-                written,
+                [Change(intent_key(duty, token, self._intent_count), value)],
+                on_result,
                 RequestPriority.ACCEPT,
-                expires_at=self.core.now + WRITE_WAIT_S,
+                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
             )
         )
 
-    def _drop(self, name: str) -> None:
+    def _delete_intent(self, name: str) -> None:
         """The action is settled: nobody has to repeat it."""
-        if name in self._dropping or name not in self.board.intents:
+        if name in self._deleting or name not in self.registry_of_duties.intents:
             return
-        self._dropping.add(name)
-        intent, stamp = self.board.intents[name]
+        self._deleting.add(name)
+        intent, mod_revision = self.registry_of_duties.intents[name]
         log.info("intent settled duty=%s term=%d", intent.duty, intent.token)
 
-        def written(status: int | None, ledger: int) -> None:
+        def on_result(status: int | None, revision: int) -> None:
             if status != 200:
-                self._dropping.discard(name)
+                self._deleting.discard(name)
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
-                {name: stamp},
+                {name: mod_revision},
                 [Change(name, None)],
-                written,
+                on_result,
                 RequestPriority.PROGRESS,
-                expires_at=self.core.now + WRITE_WAIT_S,
+                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
             )
         )
--- a/fallpulley/effects.py
+++ b/fallpulley/effects.py
@@ -11,15 +11,15 @@
 import msgspec
 
 # How a finished call comes back: status (None: no answer, outcome unknown), body, sent at.
-Done = Callable[[int | None, bytes, float], None]
+ResponseHandler = Callable[[int | None, bytes, float], None]
 # The status of a call whose answer was longer than this process can take; HTTP has no such one.
-ANSWER_TOO_LONG = 0
+RESPONSE_TOO_LONG = 0
 
 
 class Request(msgspec.Struct):
     """A request that reached this controller; `ticket` takes its answer."""
 
-    ticket: Any
+    pending_response: Any
     method: str
     path: str
     body: bytes
@@ -28,16 +28,16 @@
 class OperatorRequest(msgspec.Struct):
     """A request of an operator's tool on the mesh address."""
 
-    ticket: Any
+    pending_response: Any
     method: str
     path: str
     body: bytes
 
 
-class Result(msgspec.Struct):
+class CallCompleted(msgspec.Struct):
     """The outcome of a `Call`."""
 
-    done: Done
+    on_response: ResponseHandler
     status: int | None
     body: bytes
     sent_at: float
@@ -49,17 +49,17 @@
     body: bytes
 
 
-Command = Request | OperatorRequest | Result | PeerMessage
+Command = Request | OperatorRequest | CallCompleted | PeerMessage
 
 
-class Answer(msgspec.Struct):
-    ticket: Any
+class SendResponse(msgspec.Struct):
+    pending_response: Any
     status: int
     body: bytes = b""
     retry_after: float | None = None
 
 
-class Call(msgspec.Struct):
+class HttpCall(msgspec.Struct):
     """An HTTP request to the state service, the cloud, a worker or a peer."""
 
     address: str
@@ -67,7 +67,7 @@
     path: str
     body: bytes | None
     timeout_s: float
-    done: Done
+    on_response: ResponseHandler
 
 
-Effect = Answer | Call
+Effect = SendResponse | HttpCall
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -4,10 +4,10 @@
 
 import logging
 
-from fallpulley.blocks.held import FAULTY_JOBS, HeldBlock
+from fallpulley.blocks.held import FAULTY_MACHINE_JOBS, Shard
 from fallpulley.blocks.registry import Registry
-from fallpulley.blocks.writer import BlockWriter
-from fallpulley.core import Core
+from fallpulley.blocks.writer import ShardWriter
+from fallpulley.core import ControllerContext
 from fallpulley.fleet.demand import demand_groups
 from fallpulley.fleet.messages import MachineType
 from fallpulley.fleet.provider import MachineProvider
@@ -52,9 +52,13 @@
 
 class Autoscaler:
     def __init__(
-        self, core: Core, registry: Registry, writer: BlockWriter, provider: MachineProvider
+        self,
+        context: ControllerContext,
+        registry: Registry,
+        writer: ShardWriter,
+        provider: MachineProvider,
     ) -> None:
-        self.core = core
+        self.context = context
         self.registry = registry
         self.writer = writer
         self.provider = provider
@@ -62,61 +66,63 @@
         self._interval_s: dict[str, float] = {}  # from the last look to the next
         self._smoothed_work: dict[GroupKey, float] = {}
 
-    def tick(self, held: HeldBlock, leading: bool) -> list[MachineRequest]:
+    def tick(self, shard: Shard, leading: bool) -> list[MachineRequest]:
         """Give up what should go, rent as the leader, or say what the leader should rent."""
-        now = self.core.now
+        now = self.context.now
         if not self.registry.machine_types:
             return []
         # A partly filled rental is followed at once by one of the next kind.
-        last = self._sized_at.get(held.label, float("-inf"))
-        wait_s = self._interval_s.get(held.label, SIZING_INTERVAL_SECONDS)
+        last = self._sized_at.get(shard.shard_id, float("-inf"))
+        wait_s = self._interval_s.get(shard.shard_id, SIZING_INTERVAL_SECONDS)
         answered = self.provider.answered_at > last
         if now < last + (
             wait_s * SIZING_TIME_SHARE / SIZING_TIME_SHARE_AFTER_RESPONSE if answered else wait_s
         ):
             return []
-        self._sized_at[held.label] = now
-        began = self.core.clock()
-        machine_requests = self._resize(held, leading, min(now - last, wait_s))
+        self._sized_at[shard.shard_id] = now
+        began = self.context.clock()
+        machine_requests = self._resize(shard, leading, min(now - last, wait_s))
         boot_s = min(machine_type.boot_s for machine_type in self.registry.machine_types.values())
         took_s = min(
-            (self.core.clock() - began) / SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOTS * boot_s
+            (self.context.clock() - began) / SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOTS * boot_s
         )
-        self._interval_s[held.label] = max(SIZING_INTERVAL_SECONDS, took_s)
+        self._interval_s[shard.shard_id] = max(SIZING_INTERVAL_SECONDS, took_s)
         return machine_requests
 
-    def _resize(self, held: HeldBlock, leading: bool, since_s: float) -> list[MachineRequest]:
-        now = self.core.now
-        self._abandon_useless_machines(held)
-        if not held.loaded or (held.taken_over and now < held.taken_at + self._unsettled_s(held)):
+    def _resize(self, shard: Shard, leading: bool, since_s: float) -> list[MachineRequest]:
+        now = self.context.now
+        self._abandon_useless_machines(shard)
+        if not shard.progress_loaded or (
+            shard.acquired_by_failover and now < shard.acquired_at + self._unsettled_s(shard)
+        ):
             return []
-        sizing = self._plan_size(held, since_s)
+        sizing = self._plan_size(shard, since_s)
         for machine_id in sizing.scale_in:
-            self._abandon(held, held.machines[machine_id], "idle")
+            self._abandon(shard, shard.machines[machine_id], "idle")
         if leading:
             for rent in sizing.scale_out:
                 self.provider.scale_out(
-                    held.label, rent.machine_type, rent.zone, rent.spot, rent.count
+                    shard.shard_id, rent.machine_type, rent.zone, rent.spot, rent.count
                 )
             return []
         return [
-            MachineRequest(held.label, r.machine_type, r.zone, r.spot, r.count)
+            MachineRequest(shard.shard_id, r.machine_type, r.zone, r.spot, r.count)
             for r in sizing.scale_out
         ]
 
-    def _unsettled_s(self, held: HeldBlock) -> float:
+    def _unsettled_s(self, shard: Shard) -> float:
         """How long after a takeover the block's work is not known: what runs, and what is done
         but not yet durable, comes with the machines' reports. Taken for waiting, it once had 300
         machines rented at once."""
-        if held.unconfirmed:
-            return self.core.lease_s
-        return UNSETTLED_HEARTBEATS * self.core.report_s
+        if shard.unreconciled:
+            return self.context.lease_s
+        return UNSETTLED_HEARTBEATS * self.context.report_s
 
-    def _plan_size(self, held: HeldBlock, since_s: float) -> SizingPlan:
-        now = self.core.now
+    def _plan_size(self, shard: Shard, since_s: float) -> SizingPlan:
+        now = self.context.now
         machine_types = self.provider.machine_types or self.registry.machine_types
         supply = []
-        for machine in held.machines.values():
+        for machine in shard.machines.values():
             if machine.leaving_shard or machine.release_decided or machine.failed_in_cloud:
                 continue
             if machine.preempted_at is not None:
@@ -125,7 +131,10 @@
             if machine_type is None or (machine.ever_online and not machine.online):
                 continue
             since = machine.unacknowledged_since if machine.fenced else None
-            if since is not None and now - since > UNACKNOWLEDGED_HEARTBEATS * self.core.report_s:
+            if (
+                since is not None
+                and now - since > UNACKNOWLEDGED_HEARTBEATS * self.context.report_s
+            ):
                 continue
             if (
                 not machine.ever_online
@@ -145,7 +154,7 @@
                     idle,
                 )
             )
-        coming = self.provider.pending_rentals(held.label)
+        coming = self.provider.pending_rentals(shard.shard_id)
         for rental in coming:
             machine_type = machine_types.get(rental.machine_type)
             if machine_type is not None:
@@ -161,9 +170,9 @@
                     for n in range(rental.count)
                 ]
         # Granted, but not in the record yet.
-        for machine_id, entry in self.writer.adding.get(held.label, {}).items():
+        for machine_id, entry in self.writer.adding.get(shard.shard_id, {}).items():
             machine_type = machine_types.get(entry.machine_type)
-            if machine_type is not None and machine_id not in held.machines:
+            if machine_type is not None and machine_id not in shard.machines:
                 supply.append(
                     SupplyUnit(
                         machine_id,
@@ -174,11 +183,11 @@
                         None,
                     )
                 )
-        operators = self.core.settings.operators
+        operators = self.context.settings.operators
         most = operators.machines_max or 10**6
         boot_s = min((machine_type.boot_s for machine_type in machine_types.values()), default=60.0)
-        groups = demand_groups(held, machine_types, now, operators.drain_boots * boot_s)
-        self._smooth(held.label, groups, machine_types, since_s)
+        groups = demand_groups(shard, machine_types, now, operators.drain_boots * boot_s)
+        self._smooth(shard.shard_id, groups, machine_types, since_s)
         return size_fleet(
             groups,
             supply,
@@ -191,7 +200,7 @@
 
     def _smooth(
         self,
-        block: str,
+        shard_id: str,
         groups: list[DemandGroup],
         machine_types: dict[str, MachineType],
         since_s: float,
@@ -202,14 +211,14 @@
         weight = min(1.0, since_s / (SMOOTH_BOOTS * boot_s))
         seen = set()
         for group in groups:
-            key = (block, group.allow_spot, group.machine_types, group.zone, group.urgent)
+            key = (shard_id, group.allow_spot, group.machine_types, group.zone, group.urgent)
             seen.add(key)
             level = self._smoothed_work.get(key, group.work)
             level += weight * (group.work - level)
             self._smoothed_work[key] = level
             group.work = max(level, group.work * BACKLOG_SHARE)
         for key in list(self._smoothed_work):
-            if key[0] == block and key not in seen:
+            if key[0] == shard_id and key not in seen:
                 self._smoothed_work[key] *= 1 - weight
                 if self._smoothed_work[key] > 1.0:
                     _, spot_ok, type_names, zone, urgent = key
@@ -219,10 +228,10 @@
                         )
                     )
 
-    def _abandon_useless_machines(self, held: HeldBlock) -> None:
+    def _abandon_useless_machines(self, shard: Shard) -> None:
         """Machines that never came, went silent, stopped or are faulty go back."""
-        now = self.core.now
-        for machine in held.machines.values():
+        now = self.context.now
+        for machine in shard.machines.values():
             if machine.leaving_shard:
                 continue
             machine_type = self.registry.machine_types.get(machine.entry.machine_type)
@@ -230,62 +239,69 @@
             listed = self.provider.listed_machines.get(machine.machine_id)
             if listed is not None and listed.state == "failed":
                 machine.failed_in_cloud = True
-            if machine.machine_id in held.unconfirmed:
+            if machine.machine_id in shard.unreconciled:
                 continue
             unacknowledged_s = (
                 now - machine.unacknowledged_since
                 if machine.unacknowledged_since is not None
                 else 0.0
             )
-            if unacknowledged_s > ABANDON_OFFLINE_LEASES * self.core.lease_s and not machine.runs:
-                self._abandon(held, machine, "hears nothing")
+            if (
+                unacknowledged_s > ABANDON_OFFLINE_LEASES * self.context.lease_s
+                and not machine.runs
+            ):
+                self._abandon(shard, machine, "hears nothing")
             elif not machine.online and not machine.runs:
                 since = max(machine.last_heartbeat_at, machine.granted_at)
                 if machine.machine_id in self.provider.released_at:
-                    self._abandon(held, machine, "released")
+                    self._abandon(shard, machine, "released")
                 elif machine.failed_in_cloud:
-                    self._abandon(held, machine, "failed")
+                    self._abandon(shard, machine, "failed")
                 elif machine.ever_online:
-                    if now - since > ABANDON_OFFLINE_LEASES * self.core.lease_s:
-                        self._abandon(held, machine, "silent")
-                elif now - since > max(ABANDON_BOOT_TIMES * startup, 2 * self.core.lease_s):
-                    self._abandon(held, machine, "never up")
+                    if now - since > ABANDON_OFFLINE_LEASES * self.context.lease_s:
+                        self._abandon(shard, machine, "silent")
+                elif now - since > max(ABANDON_BOOT_TIMES * startup, 2 * self.context.lease_s):
+                    self._abandon(shard, machine, "never up")
             elif (
-                len(machine.failed_jobs) >= FAULTY_JOBS
+                len(machine.failed_jobs) >= FAULTY_MACHINE_JOBS
                 and machine.completed_tasks < 4 * len(machine.failed_jobs)
                 and not machine.runs
             ):
-                self._abandon(held, machine, "faulty")
+                self._abandon(shard, machine, "faulty")
 
-    def confirm_unreachable_gone(self, held: HeldBlock) -> None:
+    def confirm_unreachable_gone(self, shard: Shard) -> None:
         """A machine that does not answer after a takeover holds back every job accepted before
         it. Nearly always it is dead; the cloud's answer to its release proves it empty. Only
         the leader asks for that."""
-        if self.core.now - held.taken_at < UNCONFIRMED_LEASES * self.core.lease_s:
+        if self.context.now - shard.acquired_at < UNCONFIRMED_LEASES * self.context.lease_s:
             return
         zones: dict[str, list[int]] = {}
-        for machine_id, machine in held.machines.items():
+        for machine_id, machine in shard.machines.items():
             zone = zones.setdefault(machine.entry.zone, [0, 0])
-            zone[0] += machine_id in held.unconfirmed
+            zone[0] += machine_id in shard.unreconciled
             zone[1] += 1
-        for machine_id in list(held.unconfirmed):
-            machine = held.machines[machine_id]
+        for machine_id in list(shard.unreconciled):
+            machine = shard.machines[machine_id]
             missing, all_there = zones[machine.entry.zone]
             tried = machine.fence_failures >= 2 or not machine.entry.address
             if machine_id in self.provider.released_at:
-                held.confirm_empty(machine_id)
+                shard.confirm_gone(machine_id)
             elif (
                 machine_id not in self.provider.release_requested
                 and tried
                 and missing <= max(1.0, UNCONFIRMED_SHARE * all_there)
             ):
-                log.info("machine released as proof machine=%s block=%s", machine_id, held.label)
+                log.info(
+                    "machine released as proof machine=%s block=%s", machine_id, shard.shard_id
+                )
                 self.provider.release_requested.add(machine_id)
 
-    def _abandon(self, held: HeldBlock, machine: Machine, why: str) -> None:
+    def _abandon(self, shard: Shard, machine: Machine, why: str) -> None:
         """From here nothing is placed on it, whatever becomes of the write."""
-        log.info("machine given up machine=%s why=%s block=%s", machine.machine_id, why, held.label)
+        log.info(
+            "machine given up machine=%s why=%s block=%s", machine.machine_id, why, shard.shard_id
+        )
         machine.leaving_shard = True
-        held.marks_due[machine.machine_id] = None
-        held.dirty = True
-        self.writer.remove(held.label, machine.machine_id)
+        shard.occupancy_due[machine.machine_id] = None
+        shard.needs_replan = True
+        self.writer.remove(shard.shard_id, machine.machine_id)
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.fleet.messages import MachineType
 from fallpulley.fleet.sizing import DemandGroup
 from fallpulley.jobs.messages import JobKind
@@ -13,11 +13,11 @@
 
 
 def demand_groups(
-    held: HeldBlock, machine_types: dict[str, MachineType], now: float, drain_s: float
+    shard: Shard, machine_types: dict[str, MachineType], now: float, drain_s: float
 ) -> list[DemandGroup]:
     """Queued and running work by the machines it may use."""
     groups: dict[tuple[object, ...], DemandGroup] = {}
-    for job in held.jobs.values():
+    for job in shard.jobs.values():
         if job.cancelled or job.finished or job.waits_for_dependencies:
             continue  # machines rented for what cannot start yet would stand idle
         spec = job.spec
@@ -27,7 +27,7 @@
                 _processors(job, machine_types),
             )
         processors = job.processors_per_task
-        estimate = held.estimate(job)
+        estimate = shard.estimate_run_s(job)
         if spec.kind == JobKind.SERVICE:
             # Not work that drains: as much as occupies its own processors all the time.
             estimate = min(estimate, drain_s)
--- a/fallpulley/fleet/gate.py
+++ b/fallpulley/fleet/gate.py
@@ -13,7 +13,7 @@
     def may_adopt(self) -> bool:
         """Machines that no record knows may be granted to blocks, or returned."""
 
-    def may_scale_out(self, request: RentalRequest, block: str) -> bool:
+    def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
         """The rental may go out now; else it is asked for again."""
 
     def on_rental_resolved(self, request_id: str) -> None:
@@ -35,7 +35,7 @@
     def may_adopt(self) -> bool:
         return True
 
-    def may_scale_out(self, request: RentalRequest, block: str) -> bool:
+    def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
         return True
 
     def on_rental_resolved(self, request_id: str) -> None: ...
