--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from fallpulley.blocks.messages import MachineEntry
-from fallpulley.blocks.registry import CATALOG, Registry
-from fallpulley.blocks.writer import BlockWriter
-from fallpulley.core import Core
-from fallpulley.effects import Done
+from fallpulley.blocks.registry import CATALOG_KEY, Registry
+from fallpulley.blocks.writer import ShardWriter
+from fallpulley.core import ControllerContext
+from fallpulley.effects import ResponseHandler
 from fallpulley.fleet.gate import ActionGuard, PermitAll
 from fallpulley.fleet.messages import (
     LIST_PAGE_SIZE,
@@ -26,8 +26,8 @@
     RentalRequest,
     RentalResponse,
 )
-from fallpulley.state.client import Bucket, Change, RequestPriority, Write
-from fallpulley.state.view import View
+from fallpulley.state.client import Change, RequestPriority, TokenBucket, Write
+from fallpulley.state.view import WatchCache
 
 log = logging.getLogger(__name__)
 
@@ -47,12 +47,14 @@
 
 
 class MachineProvider:
-    def __init__(self, core: Core, view: View, registry: Registry, writer: BlockWriter) -> None:
-        self.core = core
-        self.view = view
+    def __init__(
+        self, context: ControllerContext, watch: WatchCache, registry: Registry, writer: ShardWriter
+    ) -> None:
+        self.context = context
+        self.watch = watch
         self.registry = registry
         self.writer = writer
-        self.bucket = Bucket(core.settings.facts.cloud.rps * 0.9)
+        self.bucket = TokenBucket(context.settings.facts.cloud.rps * 0.9)
         self.machine_types: dict[str, MachineType] = {}
         self.target_sizes: dict[str, int] = {}  # block -> machines it should have
         self.listed_machines: dict[str, ListedMachine] = {}
@@ -82,7 +84,7 @@
 
     def tick(self, term: int) -> None:
         """`term`: the stamp of our leadership; only called while it certainly lasts."""
-        now = self.core.now
+        now = self.context.now
         if term != self._term:
             # Requests of an earlier term keep their names; a new term never uses them.
             self._term = term
@@ -99,46 +101,53 @@
             if name not in self._rentals_in_flight and now >= self._retry_at.get(name, 0.0):
                 self._send_rental(name)
 
-    def _call(self, method: str, path: str, body: bytes | None, done: Done) -> bool:
+    def _call(
+        self, method: str, path: str, body: bytes | None, on_response: ResponseHandler
+    ) -> bool:
         if self.bucket.tokens < 1:
             return False
         self.bucket.tokens -= 1
-        self.core.call(
-            self.core.settings.endpoints.cloud, method, path, body, CALL_TIMEOUT_SECONDS, done
+        self.context.call(
+            self.context.settings.endpoints.cloud,
+            method,
+            path,
+            body,
+            CALL_TIMEOUT_SECONDS,
+            on_response,
         )
         return True
 
     # -- types -----------------------------------------------------------------------------
 
     def _fetch_catalog(self) -> None:
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
             catalog = _decode(body, Catalog) if status == 200 else None
             if catalog is None:
-                self._next_catalog = self.core.now + 1.0
+                self._next_catalog = self.context.now + 1.0
                 return
             self.machine_types = {offer.name: offer for offer in catalog.machine_types}
             if _without_prices(self.machine_types) != _without_prices(self.registry.machine_types):
                 value = msgspec.json.encode(catalog)
-                self.core.state.write(
+                self.context.state_client.write(
                     Write(
-                        {CATALOG: self.view.stamp(CATALOG)},
-                        [Change(CATALOG, value)],
-                        lambda status, ledger: None,
+                        {CATALOG_KEY: self.watch.mod_revision(CATALOG_KEY)},
+                        [Change(CATALOG_KEY, value)],
+                        lambda status, revision: None,
                         RequestPriority.PROGRESS,
                     )
                 )
 
-        if self._call("GET", "/catalog", None, done):
-            self._next_catalog = self.core.now + CATALOG_INTERVAL_SECONDS
+        if self._call("GET", "/catalog", None, on_response):
+            self._next_catalog = self.context.now + CATALOG_INTERVAL_SECONDS
 
     # -- the list --------------------------------------------------------------------------
 
     def _continue_listing(self) -> None:
         """Begin the next list, or ask for the page that is due."""
-        now = self.core.now
+        now = self.context.now
         if now >= self._next_list and self._listing is None:
             # Should this one fail, the next begins then.
-            self._next_list = now + max(1.5, 0.5 * self.core.settings.facts.cloud.list_lag_s)
+            self._next_list = now + max(1.5, 0.5 * self.context.settings.facts.cloud.list_lag_s)
             self._list_began = now
             self._listing = {}
             self._page_after = ""
@@ -149,11 +158,11 @@
     def _may_list(self, after: str) -> bool:
         """A list once begun comes to its end, however many pages it has and whatever else is
         asked of the cloud meanwhile."""
-        leaves = LIST_RESERVE_SHARE * self.bucket.most if after else 0.0
-        return self.bucket.tokens >= min(self.bucket.most, 1 + leaves)
+        leaves = LIST_RESERVE_SHARE * self.bucket.capacity if after else 0.0
+        return self.bucket.tokens >= min(self.bucket.capacity, 1 + leaves)
 
     def _request_page(self, after: str) -> None:
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
             page = _decode(body, MachineList) if status == 200 else None
             if page is None or self._listing is None:
                 self._listing = None
@@ -166,13 +175,13 @@
             self._on_list_complete(self._listing)
 
         path = f"/rentals?page={LIST_PAGE_SIZE}" + (f"&after={after}" if after else "")
-        if not self._call("GET", path, None, done):
+        if not self._call("GET", path, None, on_response):
             self._listing = None
 
     def _on_list_complete(self, machines: dict[str, ListedMachine]) -> None:
         """A list is whole."""
         self.listed_machines, self._listing = machines, None
-        self.listed_at = self.core.now
+        self.listed_at = self.context.now
         pages = len(machines) // LIST_PAGE_SIZE + 1
         spaced = self._list_began + pages / (LIST_SHARE * self.bucket.rate)
         self._next_list = max(self._next_list, spaced)
@@ -185,15 +194,18 @@
         """Machines that no record knows: use them, or return them when they have failed."""
         if not self.action_guard.may_adopt():
             return
-        now = self.core.now
-        lag = 2 * self.core.settings.facts.cloud.list_lag_s + 2.0
-        known = any(record.machines for record, _ in self.registry.blocks.values())
+        now = self.context.now
+        lag = 2 * self.context.settings.facts.cloud.list_lag_s + 2.0
+        known = any(record.machines for record, _ in self.registry.shards.values())
         if known and now < self._term_began_at + lag:
             return  # the list may still show what an earlier leader has released
         for machine_id, machine in self.listed_machines.items():
-            if machine_id in self.registry.shard_of_machine or machine_id in self.registry.retired:
+            if (
+                machine_id in self.registry.shard_of_machine
+                or machine_id in self.registry.release_records
+            ):
                 continue
-            if self.writer.coming(machine_id) or machine_id in self.release_requested:
+            if self.writer.is_being_added(machine_id) or machine_id in self.release_requested:
                 continue
             if machine_id in self.released_at:
                 # Released and listed again after the list's lag: the release got lost.
@@ -213,30 +225,30 @@
         """Grant a machine found in a list or by its report to a block."""
         if (
             machine_id in self.released_at
-            or machine_id in self.registry.retired
+            or machine_id in self.registry.release_records
             or not self.action_guard.may_adopt()
         ):
             return False
-        block = self.shard_for_grant()
-        if block is None:
+        shard_id = self.shard_for_grant()
+        if shard_id is None:
             return False
-        log.info("machine adopted machine=%s build=%s block=%s", machine_id, machine_type, block)
-        self.writer.add(block, machine_id, MachineEntry(address, machine_type, zone, spot))
+        log.info("machine adopted machine=%s build=%s block=%s", machine_id, machine_type, shard_id)
+        self.writer.add(shard_id, machine_id, MachineEntry(address, machine_type, zone, spot))
         return True
 
     def shard_for_grant(self) -> str | None:
         """The block furthest below its target size."""
-        blocks = {
+        shards = {
             label: entry
-            for label, entry in self.registry.blocks.items()
+            for label, entry in self.registry.shards.items()
             if self.writer.has_room(label)
         }
-        if not blocks:
+        if not shards:
             return None
         return min(
-            blocks,
+            shards,
             key=lambda label: (
-                len(blocks[label][0].machines) - self.target_sizes.get(label, 0),
+                len(shards[label][0].machines) - self.target_sizes.get(label, 0),
                 label,
             ),
         )
@@ -248,37 +260,39 @@
         self.release_requested.add(machine_id)
 
     def _send_releases(self) -> None:
-        now = self.core.now
+        now = self.context.now
         machine_ids = [
             h
-            for h, key in self.registry.retired.items()
+            for h, key in self.registry.release_records.items()
             if key not in self._release_records_deleting
         ]
-        machine_ids += [h for h in self.release_requested if h not in self.registry.retired]
+        machine_ids += [h for h in self.release_requested if h not in self.registry.release_records]
         if now < self._next_release:
             return
         machine_ids = self.action_guard.next_release_batch(machine_ids[:MAX_RELEASED_MACHINES])
         if not machine_ids:
             return
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
             if status != 200:
-                self._next_release = self.core.now + 0.5
+                self._next_release = self.context.now + 0.5
                 return
             self._next_release = float("-inf")
             for machine_id in machine_ids:
-                self.released_at[machine_id] = self.core.now
+                self.released_at[machine_id] = self.context.now
                 self.release_requested.discard(machine_id)
-            for key in {self.registry.retired.get(machine_id) for machine_id in machine_ids}:
+            for key in {
+                self.registry.release_records.get(machine_id) for machine_id in machine_ids
+            }:
                 if key is not None and all(
-                    h in self.released_at for h in self.registry.retiring[key]
+                    h in self.released_at for h in self.registry.machines_by_release_record[key]
                 ):
                     self._delete_release_record(key)
             self.action_guard.on_released(machine_ids)
             log.info("machines released n=%d first=%s", len(machine_ids), machine_ids[0])
 
         body = msgspec.json.encode(ReleaseRequest(machine_ids))
-        if self._call("POST", "/rentals/release", body, done):
+        if self._call("POST", "/rentals/release", body, on_response):
             self._next_release = now + CALL_TIMEOUT_SECONDS + 0.5
 
     def _delete_release_record(self, key: str) -> None:
@@ -287,14 +301,14 @@
             return  # the record stays; its machines are returned once more
         self._release_records_deleting.add(key)
 
-        def written(status: int | None, ledger: int) -> None:
+        def on_result(status: int | None, revision: int) -> None:
             self._release_records_deleting.discard(key)
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
-                {key: self.view.stamp(key), **under},
+                {key: self.watch.mod_revision(key), **under},
                 [Change(key, None)],
-                written,
+                on_result,
                 RequestPriority.PROGRESS,
             )
         )
@@ -302,17 +316,19 @@
     # -- renting ---------------------------------------------------------------------------
 
     def refused_offers(self) -> set[tuple[str, str, bool]]:
-        now = self.core.now
+        now = self.context.now
         return {offer for offer, (until, _) in self.refused_until.items() if until > now}
 
-    def pending_rentals(self, block: str) -> list[RentalRequest]:
-        return [rental for rental, label in self.pending.values() if label == block]
+    def pending_rentals(self, shard_id: str) -> list[RentalRequest]:
+        return [rental for rental, label in self.pending.values() if label == shard_id]
 
-    def scale_out(self, block: str, machine_type: str, zone: str, spot: bool, number: int) -> None:
+    def scale_out(
+        self, shard_id: str, machine_type: str, zone: str, spot: bool, number: int
+    ) -> None:
         """One request of a kind for a block at a time."""
         if (machine_type, zone, spot) in self.refused_offers():
             return
-        for rental in self.pending_rentals(block):
+        for rental in self.pending_rentals(shard_id):
             if (rental.machine_type, rental.zone, rental.spot) == (machine_type, zone, spot):
                 return
         self._request_count += 1
@@ -320,27 +336,27 @@
         # process, can make this name again.
         name = f"hire-{self._term}-{self._request_count}"
         request = RentalRequest(name, machine_type, zone, spot, min(number, MAX_RENTED_MACHINES))
-        self.pending[name] = (request, block)
+        self.pending[name] = (request, shard_id)
         self._send_rental(name)
 
     def _send_rental(self, name: str) -> None:
-        request, block = self.pending[name]
-        if not self.action_guard.may_scale_out(request, block):
+        request, shard_id = self.pending[name]
+        if not self.action_guard.may_scale_out(request, shard_id):
             return
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
             self._rentals_in_flight.discard(name)
-            self._retry_at[name] = self.core.now + 1.0
-            self.answered_at = self.core.now
+            self._retry_at[name] = self.context.now + 1.0
+            self.answered_at = self.context.now
             if name not in self.pending:
-                self._on_late_rental_response(status, body, request, block)
+                self._on_late_rental_response(status, body, request, shard_id)
                 return
             offer = (request.machine_type, request.zone, request.spot)
             if status == 200:
                 del self.pending[name]
                 self.action_guard.on_rental_resolved(name)
                 hired = _decode(body, RentalResponse) or RentalResponse()
-                self._grant_machines(hired.machine_ids, request, block)
+                self._grant_machines(hired.machine_ids, request, shard_id)
                 if len(hired.machine_ids) < request.count:
                     self._back_off(offer)
                 else:
@@ -350,30 +366,30 @@
                 self.action_guard.on_rental_resolved(name)
                 self._back_off(offer)
 
-        if self._call("POST", "/rentals", msgspec.json.encode(request), done):
+        if self._call("POST", "/rentals", msgspec.json.encode(request), on_response):
             self._rentals_in_flight.add(name)
 
-    def resume_rental(self, request: RentalRequest, block: str) -> None:
+    def resume_rental(self, request: RentalRequest, shard_id: str) -> None:
         """A rental that was recorded, by us or by a predecessor, and is not known to be settled:
         the same name gets the same answer."""
         if request.request_id not in self.pending:
             log.info("rental resumed hire=%s n=%d", request.request_id, request.count)
-            self.pending[request.request_id] = (request, block)
+            self.pending[request.request_id] = (request, shard_id)
 
     def _on_late_rental_response(
-        self, status: int | None, body: bytes, request: RentalRequest, block: str
+        self, status: int | None, body: bytes, request: RentalRequest, shard_id: str
     ) -> None:
         """An answer from before our last change of term: the machines are ours all the same."""
         if status == 200:
             hired = _decode(body, RentalResponse) or RentalResponse()
-            self._grant_machines(hired.machine_ids, request, block)
+            self._grant_machines(hired.machine_ids, request, shard_id)
 
     def _grant_machines(
         self, machine_ids: list[str], request: RentalRequest, asked_for: str
     ) -> None:
-        block = self.shard_for_rental(asked_for)
-        if block not in self.registry.blocks:
-            block = self.shard_for_grant() or block
+        shard_id = self.shard_for_rental(asked_for)
+        if shard_id not in self.registry.shards:
+            shard_id = self.shard_for_grant() or shard_id
         log.info(
             "machines rented n=%d of=%d build=%s zone=%s spot=%s block=%s",
             len(machine_ids),
@@ -381,7 +397,7 @@
             request.machine_type,
             request.zone,
             request.spot,
-            block,
+            shard_id,
         )
         for machine_id in machine_ids:
             if (
@@ -389,13 +405,13 @@
                 and machine_id not in self.released_at
             ):
                 entry = MachineEntry("", request.machine_type, request.zone, request.spot)
-                self.writer.add(block, machine_id, entry)
+                self.writer.add(shard_id, machine_id, entry)
 
     def _back_off(self, offer: tuple[str, str, bool]) -> None:
         startup = self.machine_types[offer[0]].boot_s if offer[0] in self.machine_types else 60.0
         _, last = self.refused_until.get(offer, (0.0, 0.5 * REFUSAL_BACKOFF_BOOTS * startup))
         wait_s = min(2 * last, MAX_REFUSAL_BACKOFF_BOOTS * startup)
-        self.refused_until[offer] = (self.core.now + wait_s, wait_s)
+        self.refused_until[offer] = (self.context.now + wait_s, wait_s)
         log.info("rental refused build=%s zone=%s spot=%s again_s=%.0f", *offer, wait_s)
 
 
--- a/fallpulley/formats.py
+++ b/fallpulley/formats.py
@@ -3,7 +3,7 @@
 
 # Block records by runs of machines, progress values that tell their size, several machines in a
 # record of those to be released, jobs that await others.
-RUNS_FORMAT = 2
+COMPACT_FORMAT = 2
 # A block's machines may stand in several values, its parts.
-PARTS_FORMAT = 3
-NEWEST_FORMAT = PARTS_FORMAT
+PAGED_FORMAT = 3
+NEWEST_FORMAT = PAGED_FORMAT
--- a/fallpulley/jobs/messages.py
+++ b/fallpulley/jobs/messages.py
@@ -105,6 +105,7 @@
     msgspec.Struct,
     omit_defaults=True,
     rename={
+        "shard_id": "block",
         "submitted_at_ms": "at_ms",
         "task_count": "pieces",
         "state": "stage",
@@ -116,7 +117,7 @@
     The specification goes when the job is over: nothing needs it any more.
     """
 
-    block: str
+    shard_id: str
     submitted_at_ms: int
     task_count: int
     state: JobState = JobState.OPEN
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from fallpulley.blocks.held import HeldBlock
-from fallpulley.core import Core
+from fallpulley.blocks.held import Shard
+from fallpulley.core import ControllerContext
 from fallpulley.jobs.messages import JOB_ID, JobRecord, JobState, Progress
 from fallpulley.jobs.open import OpenJob, chunk_name, chunk_tasks, is_chunk_name
 from fallpulley.jobs.service import JOB_PREFIX, JobEntry
@@ -35,35 +35,35 @@
 
 
 class JobPersistence:
-    def __init__(self, core: Core) -> None:
-        self.core = core
-        self.first_format_chunk_tasks = chunk_tasks(core.settings.facts.state.value_kb)
-        self.chunk_tasks = chunk_tasks(core.lesser.value_kb)
+    def __init__(self, context: ControllerContext) -> None:
+        self.context = context
+        self.first_format_chunk_tasks = chunk_tasks(context.settings.facts.state.value_kb)
+        self.chunk_tasks = chunk_tasks(context.future_state_limits.value_kb)
         self._loading_shards: set[int] = set()
         self._cancellations_pending: set[str] = set()  # records under way
 
-    def tick(self, held: HeldBlock, cancelled_with_dependencies: dict[str, JobEntry]) -> None:
+    def tick(self, shard: Shard, cancelled_with_dependencies: dict[str, JobEntry]) -> None:
         """`derived`: jobs of the block that are withdrawn with others; their records follow."""
         for job_id, entry in cancelled_with_dependencies.items():
-            if self.core.state.waiting_changes(RequestPriority.PROGRESS) >= 4:
+            if self.context.state_client.queued_changes(RequestPriority.PROGRESS) >= 4:
                 break
             self._write_dependent_cancellation(job_id, entry)
-        if not held.loaded:
-            self._load_progress(held)
+        if not shard.progress_loaded:
+            self._load_progress(shard)
             return
-        now = self.core.now
-        age = PROGRESS_REPORTS * self.core.report_s
-        for job in held.jobs.values():
+        now = self.context.now
+        age = PROGRESS_REPORTS * self.context.report_s
+        for job in shard.jobs.values():
             if job.cancelled:
                 continue
             if job.finished:
                 if not job.final_write_pending and now >= job.retry_at:
-                    self._write_completion(held, job)
+                    self._write_completion(shard, job)
             elif (
                 job.unsaved_since is not None
                 and not job.progress_write_pending
                 and now > job.unsaved_since + age
-                and self.core.state.waiting_changes(RequestPriority.PROGRESS) < 4
+                and self.context.state_client.queued_changes(RequestPriority.PROGRESS) < 4
             ):
                 self._write_progress(job)
 
@@ -73,31 +73,31 @@
         self._cancellations_pending.add(job)
         key = JOB_PREFIX + job
         value = msgspec.json.encode(
-            JobRecord(entry.block, entry.submitted_at_ms, entry.task_count, JobState.CANCELLED)
+            JobRecord(entry.shard_id, entry.submitted_at_ms, entry.task_count, JobState.CANCELLED)
         )
 
-        def on_written(status: int | None, ledger: int) -> None:
+        def on_written(status: int | None, revision: int) -> None:
             self._cancellations_pending.discard(job)
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
                 {key: entry.mod_revision},
                 [Change(key, value)],
                 on_written,
                 RequestPriority.PROGRESS,
-                expires_at=self.core.now + 5.0,
+                expires_at=self.context.now + 5.0,
             )
         )
 
-    def _write_completion(self, held: HeldBlock, job: OpenJob) -> None:
+    def _write_completion(self, shard: Shard, job: OpenJob) -> None:
         """Every task is done: the record says so before anybody else does."""
         job.final_write_pending = True
         key = JOB_PREFIX + job.job_id
         record = job.record
-        finished_at_ms = round(self.core.wall * 1000)
+        finished_at_ms = round(self.context.wall_time * 1000)
         value = msgspec.json.encode(
             JobRecord(
-                record.block,
+                record.shard_id,
                 record.submitted_at_ms,
                 record.task_count,
                 JobState.DONE,
@@ -107,32 +107,32 @@
         changes = [Change(key, value)]
         conditions = {key: job.mod_revision}
         # As many progress values as the transaction holds; what is left of them harms nothing.
-        for name, stamp in list(job.progress_revisions.items())[: self.core.txn_ops - 1]:
-            conditions[f"{PROGRESS_PREFIX}{job.job_id}/{name}"] = stamp
+        for name, mod_revision in list(job.progress_revisions.items())[: self.context.txn_ops - 1]:
+            conditions[f"{PROGRESS_PREFIX}{job.job_id}/{name}"] = mod_revision
             changes.append(Change(f"{PROGRESS_PREFIX}{job.job_id}/{name}", None))
 
-        def on_written(status: int | None, ledger: int) -> None:
-            log.info("job done job=%s status=%s term=%d", job.job_id, status, held.token)
+        def on_written(status: int | None, revision: int) -> None:
+            log.info("job done job=%s status=%s term=%d", job.job_id, status, shard.fencing_token)
             if status == 409 and job.progress_revisions:
                 # A late progress write got in between: leave the values, the end counts.
                 job.progress_revisions.clear()
             if status != 200:
                 # The watch shows the record if the write got through after all.
-                job.retry_at = self.core.now + 0.3
+                job.retry_at = self.context.now + 0.3
                 job.final_write_pending = False
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
                 conditions,
                 changes,
                 on_written,
                 RequestPriority.ACCEPT,
-                expires_at=self.core.now + 2.0,
+                expires_at=self.context.now + 2.0,
             )
         )
 
     def _write_progress(self, job: OpenJob) -> None:
-        newer = self.core.newer_format
+        newer = self.context.compact_format
         tasks = self.chunk_tasks if newer else self.first_format_chunk_tasks
         job.unsaved_since = None
         for number in job.unsaved_chunks(tasks)[:4]:
@@ -144,24 +144,24 @@
         content = job.chunk_bytes(number, tasks)
         value = msgspec.json.encode(Progress(base64.b64encode(content).decode()))
 
-        def on_written(status: int | None, ledger: int) -> None:
+        def on_written(status: int | None, revision: int) -> None:
             job.progress_write_pending = False
             if status == 200:
-                job.progress_revisions[name] = ledger
+                job.progress_revisions[name] = revision
                 job.mark_chunk_durable(number, tasks, content)
                 return
             if job.unsaved_since is None:
-                job.unsaved_since = self.core.now
+                job.unsaved_since = self.context.now
             if status in (409, None):
                 self._reload_chunk(job, name)
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
                 {key: job.progress_revisions.get(name, 0)},
                 [Change(key, value)],
                 on_written,
                 RequestPriority.PROGRESS,
-                expires_at=self.core.now + 5.0,
+                expires_at=self.context.now + 5.0,
             )
         )
 
@@ -183,19 +183,19 @@
                     name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision
                 )
 
-        self.core.state.read(
-            path, on_response, RequestPriority.PROGRESS, expires_at=self.core.now + 5.0
+        self.context.state_client.request(
+            path, on_response, RequestPriority.PROGRESS, expires_at=self.context.now + 5.0
         )
 
     # -- after a takeover ------------------------------------------------------------------
 
-    def _load_progress(self, held: HeldBlock) -> None:
-        if id(held) in self._loading_shards:
+    def _load_progress(self, shard: Shard) -> None:
+        if id(shard) in self._loading_shards:
             return
-        self._loading_shards.add(id(held))
-        self._load_page(held, "")
+        self._loading_shards.add(id(shard))
+        self._load_page(shard, "")
 
-    def _load_page(self, held: HeldBlock, after: str) -> None:
+    def _load_page(self, shard: Shard, after: str) -> None:
         path = f"/store?under={PROGRESS_PREFIX}&page={PAGE_SIZE}" + (
             f"&after={after}" if after else ""
         )
@@ -208,22 +208,24 @@
                 except msgspec.MsgspecError:
                     log.error("state broken progress page")
             if page is None:
-                self._loading_shards.discard(id(held))
+                self._loading_shards.discard(id(shard))
                 return
             for item in page.items:
-                self._merge_progress(held, item)
+                self._merge_progress(shard, item)
             if page.has_next and page.items:
-                self._load_page(held, page.items[-1].key)
+                self._load_page(shard, page.items[-1].key)
                 return
-            self._loading_shards.discard(id(held))
-            held.loaded = True
-            held.dirty = True
-            log.info("progress loaded block=%s jobs=%d", held.label, len(held.jobs))
+            self._loading_shards.discard(id(shard))
+            shard.progress_loaded = True
+            shard.needs_replan = True
+            log.info("progress loaded block=%s jobs=%d", shard.shard_id, len(shard.jobs))
 
-        self.core.state.read(path, on_response, RequestPriority.PROGRESS, timeout_s=5.0)
+        self.context.state_client.request(
+            path, on_response, RequestPriority.PROGRESS, timeout_s=5.0
+        )
 
-    def _merge_progress(self, held: HeldBlock, item: _Item) -> None:
+    def _merge_progress(self, shard: Shard, item: _Item) -> None:
         job_id, _, name = item.key[len(PROGRESS_PREFIX) :].rpartition("/")
-        job = held.jobs.get(job_id)
+        job = shard.jobs.get(job_id)
         if job is not None and JOB_ID.fullmatch(job_id) and is_chunk_name(name):
             job.merge_chunk(name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision)
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from fallpulley.blocks.messages import TeamHome
-from fallpulley.blocks.registry import TEAMS, Registry
-from fallpulley.core import Core
+from fallpulley.blocks.messages import TeamShard
+from fallpulley.blocks.registry import TEAM_PREFIX, Registry
+from fallpulley.core import ControllerContext
 from fallpulley.jobs.messages import (
     FINAL_STATES,
     JOB_ID,
@@ -28,7 +28,7 @@
 from fallpulley.jobs.pipelines import DependencyNode, Pipelines
 from fallpulley.settings import Team
 from fallpulley.state.client import Change, RequestPriority, Write
-from fallpulley.state.view import View
+from fallpulley.state.view import WatchCache
 
 log = logging.getLogger(__name__)
 
@@ -43,7 +43,7 @@
     """A job record as last seen."""
 
     state: JobState
-    block: str
+    shard_id: str
     task_count: int
     mod_revision: int
     submitted_at_ms: int = 0
@@ -52,26 +52,26 @@
 
 
 class JobService:
-    def __init__(self, core: Core, view: View, registry: Registry) -> None:
-        self.core = core
-        self.view = view
+    def __init__(self, context: ControllerContext, watch: WatchCache, registry: Registry) -> None:
+        self.context = context
+        self.watch = watch
         self.registry = registry
         self.entries: dict[str, JobEntry] = {}
-        self.open_by_block: dict[str, set[str]] = {}
+        self.open_by_shard: dict[str, set[str]] = {}
         self.task_counts: dict[str, tuple[int, int]] = {}  # done, running: for display
-        self.teams: dict[str, Team] = {team.name: team for team in core.settings.facts.teams}
+        self.teams: dict[str, Team] = {team.name: team for team in context.settings.facts.teams}
         self.pipelines = Pipelines(self._finished_at_ms, self._is_cancelled)
         # Withdrawn because a job that they need is; block -> jobs whose own record does not say so.
         self.cancelled_with_dependencies: dict[str, dict[str, JobEntry]] = {}
         # Jobs that others' records have made ready, withdrawn or more urgent, for the owner to act.
         self.affected_jobs: set[str] = set()
         # The block that a team's new jobs go to; None: whichever has the least work.
-        self.block_of_team: Callable[[str], str | None] = lambda team: None
+        self.shard_of_team: Callable[[str], str | None] = lambda team: None
         self.newly_cancelled: list[str] = []  # cancellations just made durable here
 
     # -- records ---------------------------------------------------------------------------
 
-    def on_record(self, job_id: str, value: bytes | None, stamp: int) -> JobEntry | None:
+    def on_record(self, job_id: str, value: bytes | None, mod_revision: int) -> JobEntry | None:
         """A job's record as the watch brings it; returns what is known of it now."""
         if value is None:
             return None
@@ -83,21 +83,21 @@
         is_open = record.state == JobState.OPEN
         entry = JobEntry(
             record.state,
-            record.block,
+            record.shard_id,
             record.task_count,
-            stamp,
+            mod_revision,
             record.submitted_at_ms,
             record if is_open else None,
             record.finished_at_ms,
         )
         self.entries[job_id] = entry
-        job_ids = self.open_by_block.setdefault(record.block, set())
+        job_ids = self.open_by_shard.setdefault(record.shard_id, set())
         if is_open:
             job_ids.add(job_id)
         else:
             job_ids.discard(job_id)
             self.task_counts.pop(job_id, None)
-            self.cancelled_with_dependencies.get(record.block, {}).pop(job_id, None)
+            self.cancelled_with_dependencies.get(record.shard_id, {}).pop(job_id, None)
         self._update_pipelines(job_id, entry)
         return entry
 
@@ -128,7 +128,7 @@
             )
         elif entry.state == JobState.DONE:
             changes = self.pipelines.complete_job(
-                job_id, entry.finished_at_ms or round(self.core.wall * 1000)
+                job_id, entry.finished_at_ms or round(self.context.wall_time * 1000)
             )
         elif entry.state == JobState.CANCELLED:
             changes = self.pipelines.cancel_job(job_id)
@@ -175,18 +175,18 @@
             return
         log.info("job withdrawn with job=%s cause=%s", job_id, dependency)
         entry.state, entry.record = JobState.CANCELLED, None
-        self.open_by_block.get(entry.block, set()).discard(job_id)
+        self.open_by_shard.get(entry.shard_id, set()).discard(job_id)
         self.task_counts.pop(job_id, None)
-        self.cancelled_with_dependencies.setdefault(entry.block, {})[job_id] = entry
+        self.cancelled_with_dependencies.setdefault(entry.shard_id, {})[job_id] = entry
 
-    def estimated_work(self, block: str) -> float:
+    def estimated_work(self, shard_id: str) -> float:
         """Estimated work of a block's unfinished jobs, in processor-seconds."""
-        return sum(self.estimated_work_by_priority(block).values())
+        return sum(self.estimated_work_by_priority(shard_id).values())
 
-    def estimated_work_by_priority(self, block: str) -> dict[Priority, float]:
+    def estimated_work_by_priority(self, shard_id: str) -> dict[Priority, float]:
         """The same by the jobs' own priorities. Jobs that await others are no work yet."""
         work = dict.fromkeys(PRIORITY_LEVELS, 0.0)
-        for job_id in self.open_by_block.get(block, ()):
+        for job_id in self.open_by_shard.get(shard_id, ()):
             record = self.entries[job_id].record
             node = self.pipelines.node(job_id)
             if node is not None and node.unfinished_dependencies:
@@ -208,16 +208,16 @@
         elif entry.state == JobState.OPEN:
             state.done, state.running = self.task_counts.get(job_id, (0, 0))
             state.state = JobState.RUNNING if state.running else JobState.PENDING
-        self.core.answer(pending_response, status, msgspec.json.encode(state))
+        self.context.respond(pending_response, status, msgspec.json.encode(state))
 
     def _respond_unavailable(
         self, pending_response: Any, why: str, retry_s: float = RETRY_AFTER_SECONDS
     ) -> None:
         body = msgspec.json.encode({"error": why})
-        self.core.answer(pending_response, 503, body, retry_s)
+        self.context.respond(pending_response, 503, body, retry_s)
 
     def _respond_error(self, pending_response: Any, status: int, why: str) -> None:
-        self.core.answer(pending_response, status, msgspec.json.encode({"error": why}))
+        self.context.respond(pending_response, status, msgspec.json.encode({"error": why}))
 
     def query(self, pending_response: Any, job_id: str) -> None:
         """`GET /work/{id}`: a final state from memory, else after a round begun from now on."""
@@ -238,7 +238,7 @@
             else:
                 self._respond_error(pending_response, 404, "no such job")
 
-        self.view.when_current(on_current, self.core.now)
+        self.watch.when_current(on_current, self.context.now)
 
     # -- submissions -----------------------------------------------------------------------
 
@@ -258,14 +258,14 @@
         if entry is not None:
             self.query(pending_response, spec.job_id)
             return
-        if not self.registry.machine_types or not self.view.ready:
+        if not self.registry.machine_types or not self.watch.ready:
             self._respond_unavailable(pending_response, "machine types not known yet")
             return
         why = self.why_never_runs(spec)
         if why is not None:
             self._respond_error_unless_accepted(pending_response, spec.job_id, why)
             return
-        if spec.depends_on and not self.core.newer_format:
+        if spec.depends_on and not self.context.compact_format:
             # An older controller would start it at once.
             self._respond_unavailable(pending_response, "not every controller knows pipelines yet")
             return
@@ -284,12 +284,12 @@
             else:
                 self._respond_error(pending_response, 422, "awaits a job that was never accepted")
 
-        self.view.when_current(on_current, self.core.now)
+        self.watch.when_current(on_current, self.context.now)
 
     def _assign_shard(self, pending_response: Any, spec: Submission) -> None:
         """All that it awaits was accepted: into a block with it."""
-        block = self._choose_shard(spec)
-        if block is None:
+        shard_id = self._choose_shard(spec)
+        if shard_id is None:
             self._respond_unavailable(pending_response, "no block open yet")
             return
         if spec.depends_on is not None:
@@ -298,7 +298,7 @@
                 a for a in dict.fromkeys(spec.depends_on) if self.entries[a].state != JobState.DONE
             ]
             spec = msgspec.structs.replace(spec, depends_on=depends_on or None)
-        self._write_acceptance(pending_response, spec, block)
+        self._write_acceptance(pending_response, spec, shard_id)
 
     def _respond_error_unless_accepted(
         self, pending_response: Any, job_id: str, why: str, status: int = 422
@@ -314,7 +314,7 @@
             else:
                 self._respond_unavailable(pending_response, "state service out of reach")
 
-        self.view.when_current(on_current, self.core.now)
+        self.watch.when_current(on_current, self.context.now)
 
     def why_never_runs(self, spec: Submission) -> str | None:
         """Why a job can never run, or None."""
@@ -342,50 +342,52 @@
     def _choose_shard(self, spec: Submission) -> str | None:
         """The open block with the least work for the machines that the job may use; a limited
         team's own block."""
-        if self.teams[spec.team].limited and spec.team in self.registry.homes:
-            return self.registry.homes[spec.team]
-        assigned = self.block_of_team(spec.team)
+        if self.teams[spec.team].limited and spec.team in self.registry.team_shards:
+            return self.registry.team_shards[spec.team]
+        assigned = self.shard_of_team(spec.team)
         if assigned is not None:
             return assigned
-        blocks = self.registry.blocks
-        if len(blocks) < 2:
-            return next(iter(blocks), None)
-        return min(blocks, key=lambda label: self._relative_load(spec, label))
+        shards = self.registry.shards
+        if len(shards) < 2:
+            return next(iter(shards), None)
+        return min(shards, key=lambda shard_id: self._relative_load(spec, shard_id))
 
-    def _relative_load(self, spec: Submission, label: str) -> tuple[bool, float, str]:
+    def _relative_load(self, spec: Submission, shard_id: str) -> tuple[bool, float, str]:
         """Seconds of work for each processor that the job may use; last where it may use none. A
         block that had nothing but spot machines once got urgent jobs that may not run on them."""
         usable = sum(
             cpus
-            for (type_name, zone, spot), cpus in self.registry.kinds(label).items()
+            for (type_name, zone, spot), cpus in self.registry.processors_by_shape(shard_id).items()
             if (spec.allow_spot or not spot)
             and (spec.machine_types is None or type_name in spec.machine_types)
             and (spec.zone is None or zone == spec.zone)
         )
-        return usable == 0, self.estimated_work(label) / max(usable, 1.0), label
+        return usable == 0, self.estimated_work(shard_id) / max(usable, 1.0), shard_id
 
-    def _write_acceptance(self, pending_response: Any, spec: Submission, block: str) -> None:
+    def _write_acceptance(self, pending_response: Any, spec: Submission, shard_id: str) -> None:
         key = JOB_PREFIX + spec.job_id
         value = msgspec.json.encode(
-            JobRecord(block, round(self.core.wall * 1000), spec.task_count, JobState.OPEN, spec)
+            JobRecord(
+                shard_id, round(self.context.wall_time * 1000), spec.task_count, JobState.OPEN, spec
+            )
         )
-        if len(value) > self.core.value_bytes:
+        if len(value) > self.context.value_bytes:
             self._respond_error(pending_response, 400, "too long")
             return
         conditions = {key: 0}
         changes = [Change(key, value)]
         if self.teams[spec.team].limited:
-            home = TEAMS + spec.team
-            conditions[home] = self.view.stamp(home)
-            if spec.team not in self.registry.homes:
-                changes.append(Change(home, msgspec.json.encode(TeamHome(block))))
+            team_key = TEAM_PREFIX + spec.team
+            conditions[team_key] = self.watch.mod_revision(team_key)
+            if spec.team not in self.registry.team_shards:
+                changes.append(Change(team_key, msgspec.json.encode(TeamShard(shard_id))))
 
-        def on_written(status: int | None, ledger: int) -> None:
+        def on_written(status: int | None, revision: int) -> None:
             if status == 200:
                 log.info(
                     "job accepted job=%s block=%s tasks=%d class=%s",
                     spec.job_id,
-                    block,
+                    shard_id,
                     spec.task_count,
                     spec.job_class,
                 )
@@ -393,19 +395,19 @@
                 body = msgspec.json.encode(
                     JobStatus(spec.job_id, JobState.CANCELLED if cancelled else JobState.PENDING)
                 )
-                self.core.answer(pending_response, 201, body)
+                self.context.respond(pending_response, 201, body)
             elif status == 409:
                 self._respond_after_conflict(pending_response, spec)
             else:
                 self._respond_unavailable(pending_response, "state service did not answer")
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
                 conditions,
                 changes,
                 on_written,
                 RequestPriority.ACCEPT,
-                expires_at=self.core.now + MAX_WRITE_WAIT_SECONDS,
+                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
             )
         )
 
@@ -419,7 +421,7 @@
             else:
                 self._respond_unavailable(pending_response, "not decided, ask again")
 
-        self.view.when_current(on_current, self.core.now)
+        self.watch.when_current(on_current, self.context.now)
 
     # -- cancels ---------------------------------------------------------------------------
 
@@ -452,21 +454,21 @@
         elif entry is not None and entry.state in FINAL_STATES:
             self._respond_with_state(pending_response, job_id, entry)
         else:
-            self.view.when_current(on_current, self.core.now)
+            self.watch.when_current(on_current, self.context.now)
 
     def _write_cancellation(
         self, pending_response: Any, job_id: str, entry: JobEntry, attempts_left: int
     ) -> None:
         key = JOB_PREFIX + job_id
         value = msgspec.json.encode(
-            JobRecord(entry.block, entry.submitted_at_ms, entry.task_count, JobState.CANCELLED)
+            JobRecord(entry.shard_id, entry.submitted_at_ms, entry.task_count, JobState.CANCELLED)
         )
 
-        def on_written(status: int | None, ledger: int) -> None:
+        def on_written(status: int | None, revision: int) -> None:
             if status == 200:
                 log.info("job withdrawn job=%s", job_id)
                 self.newly_cancelled.append(job_id)
-                self.core.answer(
+                self.context.respond(
                     pending_response,
                     200,
                     msgspec.json.encode(JobStatus(job_id, JobState.CANCELLED)),
@@ -476,12 +478,12 @@
             else:
                 self._respond_unavailable(pending_response, "not decided, ask again")
 
-        self.core.state.write(
+        self.context.state_client.write(
             Write(
                 {key: entry.mod_revision},
                 [Change(key, value)],
                 on_written,
                 RequestPriority.ACCEPT,
-                expires_at=self.core.now + MAX_WRITE_WAIT_SECONDS,
+                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
             )
         )
--- a/fallpulley/mesh/messages.py
+++ b/fallpulley/mesh/messages.py
@@ -8,37 +8,37 @@
 class MachineRequest(msgspec.Struct, array_like=True):
     """Machines that a block's holder asks the leader for."""
 
-    block: str
+    shard_id: str
     machine_type: str
     zone: str
     spot: bool
     count: int
 
 
-class Heartbeat(msgspec.Struct, tag="beat", array_like=True):
+class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
     """A sign of life: how fresh the sender's copy is, and its jobs' counts for display."""
 
-    label: str
-    boot: str
+    controller_id: str
+    incarnation: str
     sent_at: float  # time of day: a copy may come late
-    fresh_s: float
-    counts: list[tuple[str, int, int]]
+    staleness_s: float
+    task_counts: list[tuple[str, int, int]]
     machine_requests: list[MachineRequest]
-    targets: dict[str, int] = {}  # of the leader: block -> machines it should have
+    target_sizes: dict[str, int] = {}  # of the leader: block -> machines it should have
 
 
-class CalledOff(msgspec.Struct, tag="called_off", array_like=True):
+class Cancellations(msgspec.Struct, tag="called_off", array_like=True):
     """Jobs whose cancellation is durable, told to their block's holder at once: one that cannot
     read the records stops them sooner than its answer window would."""
 
-    jobs: list[str]
+    job_ids: list[str]
 
 
-Message = Heartbeat | CalledOff
+PeerMessageBody = PeerHeartbeat | Cancellations
 
 
-def decode(body: bytes) -> Message | None:
+def decode(body: bytes) -> PeerMessageBody | None:
     try:
-        return msgspec.json.decode(body, type=Message)
+        return msgspec.json.decode(body, type=PeerMessageBody)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -4,96 +4,112 @@
 
 import msgspec
 
-from fallpulley.core import Core
-from fallpulley.mesh.messages import CalledOff, Heartbeat, MachineRequest, Message, decode
-
-HEARTBEAT_S = 1.0
+from fallpulley.core import ControllerContext
+from fallpulley.mesh.messages import (
+    Cancellations,
+    MachineRequest,
+    PeerHeartbeat,
+    PeerMessageBody,
+    decode,
+)
+
+HEARTBEAT_SECONDS = 1.0
 # A peer whose last heartbeat is older than this says nothing about the present.
 RECENT_HEARTBEATS = 3.5
 # Our copy is behind when it was not refreshed for so many heartbeats while a peer's was.
-BEHIND_HEARTBEATS = 3.0
+STALE_HEARTBEATS = 3.0
 
 # Jobs in one message about cancellations.
-TOLD_MOST = 1000
+MAX_CANCELLATIONS = 1000
 
 
 class Peers:
-    def __init__(self, core: Core) -> None:
-        self.core = core
-        self.heartbeats: dict[str, tuple[Heartbeat, float]] = {}
+    def __init__(self, context: ControllerContext) -> None:
+        self.context = context
+        self.heartbeats: dict[str, tuple[PeerHeartbeat, float]] = {}
         self._next = float("-inf")
 
     def tick(
         self,
-        fresh_s: float,
-        counts: list[tuple[str, int, int]],
+        staleness_s: float,
+        task_counts: list[tuple[str, int, int]],
         machine_requests: list[MachineRequest],
-        targets: dict[str, int],
+        target_sizes: dict[str, int],
     ) -> None:
-        now = self.core.now
+        now = self.context.now
         if now < self._next:
             return
-        self._next = now + HEARTBEAT_S
+        self._next = now + HEARTBEAT_SECONDS
         body = msgspec.json.encode(
-            Heartbeat(
-                self.core.label,
-                self.core.boot,
-                self.core.wall,
-                min(fresh_s, 1e6),
-                counts,
+            PeerHeartbeat(
+                self.context.controller_id,
+                self.context.incarnation,
+                self.context.wall_time,
+                min(staleness_s, 1e6),
+                task_counts,
                 machine_requests,
-                targets,
+                target_sizes,
             )
         )
-        for seed in self.core.settings.seeds:
+        for seed in self.context.settings.peers:
             self._post(seed.address, body)
 
-    def due(self) -> bool:
-        return self.core.now >= self._next
+    def is_due(self) -> bool:
+        return self.context.now >= self._next
 
-    def tell(self, label: str, jobs: list[str]) -> None:
+    def send_cancellations(self, controller_id: str, jobs: list[str]) -> None:
         """Tell a block's holder of cancellations; nothing is lost if it does not hear."""
-        for at in range(0, len(jobs), TOLD_MOST):
-            self.send(label, msgspec.json.encode(CalledOff(jobs[at : at + TOLD_MOST])))
+        for at in range(0, len(jobs), MAX_CANCELLATIONS):
+            self.send(
+                controller_id, msgspec.json.encode(Cancellations(jobs[at : at + MAX_CANCELLATIONS]))
+            )
 
-    def send(self, label: str, body: bytes) -> None:
+    def send(self, controller_id: str, body: bytes) -> None:
         """One message to a peer; whether it came is not known."""
-        for seed in self.core.settings.seeds:
-            if seed.label == label:
+        for seed in self.context.settings.peers:
+            if seed.controller_id == controller_id:
                 self._post(seed.address, body)
 
     def _post(self, address: str, body: bytes) -> None:
-        self.core.call(address, "POST", "/beat", body, HEARTBEAT_S, lambda status, answer, at: None)
+        self.context.call(
+            address, "POST", "/beat", body, HEARTBEAT_SECONDS, lambda status, answer, at: None
+        )
 
-    def take(self, body: bytes) -> Message | None:
+    def receive(self, body: bytes) -> PeerMessageBody | None:
         """The message; None for a heartbeat that is a late copy or overtaken by a newer one: a
         controller that is cut off must not seem to be there because an old one arrives."""
         heartbeat = decode(body)
-        if not isinstance(heartbeat, Heartbeat):
+        if not isinstance(heartbeat, PeerHeartbeat):
             return heartbeat
-        last = self.heartbeats.get(heartbeat.label)
-        skew_s = 2 * self.core.settings.facts.skew_ms / 1000
-        late = self.core.wall - heartbeat.sent_at > RECENT_HEARTBEATS * HEARTBEAT_S + skew_s
+        last = self.heartbeats.get(heartbeat.controller_id)
+        skew_s = 2 * self.context.settings.facts.skew_ms / 1000
+        late = (
+            self.context.wall_time - heartbeat.sent_at
+            > RECENT_HEARTBEATS * HEARTBEAT_SECONDS + skew_s
+        )
         if late or (last is not None and heartbeat.sent_at <= last[0].sent_at):
             return None
-        self.heartbeats[heartbeat.label] = (heartbeat, self.core.now)
+        self.heartbeats[heartbeat.controller_id] = (heartbeat, self.context.now)
         return heartbeat
 
-    def recent(self, label: str) -> bool:
-        entry = self.heartbeats.get(label)
-        return entry is not None and self.core.now - entry[1] < RECENT_HEARTBEATS * HEARTBEAT_S
+    def is_recent(self, controller_id: str) -> bool:
+        entry = self.heartbeats.get(controller_id)
+        return (
+            entry is not None
+            and self.context.now - entry[1] < RECENT_HEARTBEATS * HEARTBEAT_SECONDS
+        )
 
-    def none(self) -> bool:
-        return not any(self.recent(label) for label in self.heartbeats)
+    def has_no_live_peer(self) -> bool:
+        return not any(self.is_recent(controller_id) for controller_id in self.heartbeats)
 
-    def left_behind(self, fresh_at: float) -> bool:
+    def is_stale(self, fresh_at: float) -> bool:
         """Peers reached the state service clearly after we last did.
 
         A heartbeat's age counts: in an outage of the service everybody's last look is as old as
         ours, whatever a heartbeat of some seconds ago said.
         """
-        late = fresh_at + BEHIND_HEARTBEATS * HEARTBEAT_S
+        late = fresh_at + STALE_HEARTBEATS * HEARTBEAT_SECONDS
         return any(
-            self.recent(label) and at - heartbeat.fresh_s > late
-            for label, (heartbeat, at) in self.heartbeats.items()
+            self.is_recent(controller_id) and at - heartbeat.staleness_s > late
+            for controller_id, (heartbeat, at) in self.heartbeats.items()
         )
--- a/fallpulley/placement/planner.py
+++ b/fallpulley/placement/planner.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.blocks.registry import Registry
-from fallpulley.core import Core
+from fallpulley.core import ControllerContext
 from fallpulley.jobs.service import JobService
 from fallpulley.placement.queue import plan_shard
 
@@ -24,46 +24,46 @@
 class Planner:
     """Plans the held blocks in which something changed, as often as plans are cheap."""
 
-    def __init__(self, core: Core, registry: Registry, jobs: JobService) -> None:
-        self.core = core
+    def __init__(self, context: ControllerContext, registry: Registry, jobs: JobService) -> None:
+        self.context = context
         self.registry = registry
         self.jobs = jobs
         self.ready_at = float("-inf")  # the next plan is made from then on
         self._replan_at = float("-inf")
 
-    def plan(self, held_blocks: dict[str, HeldBlock]) -> bool:
+    def plan(self, shards: dict[str, Shard]) -> bool:
         """Plan the blocks that need it, if it is time; says whether any was."""
-        now = self.core.now
+        now = self.context.now
         if now < self.ready_at:
             return False
         replan = now >= self._replan_at
-        began = self.core.clock()
-        planned = [held for held in held_blocks.values() if held.dirty or replan]
-        for held in planned:
-            self._plan_one(held)
+        began = self.context.clock()
+        planned = [shard for shard in shards.values() if shard.needs_replan or replan]
+        for shard in planned:
+            self._plan_one(shard)
         if planned:
-            self._space(self.core.clock() - began)
+            self._space(self.context.clock() - began)
         return bool(planned)
 
-    def _plan_one(self, held: HeldBlock) -> None:
-        held.dirty = False
-        decision = plan_shard(held, self.core, self.registry, self.jobs.teams)
-        held.booked = decision.starts
+    def _plan_one(self, shard: Shard) -> None:
+        shard.needs_replan = False
+        decision = plan_shard(shard, self.context, self.registry, self.jobs.teams)
+        shard.bookings = decision.starts
         for preemption in decision.stops:
-            held.commands.preempt(preemption.machine_id, preemption.task_ids)
-        self._prompt_reports(held)
+            shard.commands.preempt(preemption.machine_id, preemption.task_ids)
+        self._prompt_reports(shard)
 
     def _space(self, took_s: float) -> None:
-        report_s = self.core.report_s
+        report_s = self.context.report_s
         wait_s = min(took_s * PLAN_SHARE, MAX_PLAN_INTERVALS * report_s)
         wait_s = max(wait_s, took_s * PLAN_SHARE_LEAST, PLAN_REPORTS * report_s)
-        self.ready_at = self.core.now + wait_s
-        self._replan_at = self.core.now + REPLAN_REPORTS * report_s
+        self.ready_at = self.context.now + wait_s
+        self._replan_at = self.context.now + REPLAN_REPORTS * report_s
 
-    def _prompt_reports(self, held: HeldBlock) -> None:
+    def _prompt_reports(self, shard: Shard) -> None:
         """Machines with new bookings are asked to report now instead of when it is their turn."""
-        soon = self.core.now + PROMPT_REPORTS * self.core.report_s
-        for machine_id in held.booked:
-            machine = held.machines.get(machine_id)
-            if machine is not None and machine.last_heartbeat_at + self.core.report_s > soon:
-                held.commands.prompt_heartbeat(machine)
+        soon = self.context.now + PROMPT_REPORTS * self.context.report_s
+        for machine_id in shard.bookings:
+            machine = shard.machines.get(machine_id)
+            if machine is not None and machine.last_heartbeat_at + self.context.report_s > soon:
+                shard.commands.prompt_heartbeat(machine)
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.blocks.registry import Registry
-from fallpulley.core import Core
+from fallpulley.core import ControllerContext
 from fallpulley.fleet.messages import MachineType
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open import OpenJob
@@ -50,14 +50,14 @@
 
 
 def machine_snapshots(
-    held: HeldBlock, machine_types: dict[str, MachineType], now: float
+    shard: Shard, machine_types: dict[str, MachineType], now: float
 ) -> list[MachineSnapshot]:
     """The machines that may be given tasks now. A picture is made anew only when something
     changed on the machine or one of its tasks should have ended: hundreds of machines stay the
     same from one plan to the next."""
     snapshots = []
     estimates: dict[str, float] = {}
-    for machine in held.machines.values():
+    for machine in shard.machines.values():
         if not machine.usable or not machine.marked_occupied or now < machine.refuses_tasks_until:
             continue
         if machine.draining:
@@ -70,13 +70,13 @@
                 for name, status in machine.tasks.items()
             ):
                 continue  # holds something whose size we do not know, until it is stopped
-            snapshot = machine.snapshot = _snapshot(held, machine, machine_type, estimates, now)
+            snapshot = machine.snapshot = _snapshot(shard, machine, machine_type, estimates, now)
         snapshots.append(snapshot)
     return snapshots
 
 
 def _snapshot(
-    held: HeldBlock,
+    shard: Shard,
     machine: Machine,
     machine_type: MachineType,
     estimates: dict[str, float],
@@ -92,13 +92,13 @@
         images[image] = max(ready, now + 0.5)
         fetch_free = max(fetch_free, images[image])
     for run in machine.runs.values():
-        job = held.jobs.get(run.job_id)
+        job = shard.jobs.get(run.job_id)
         if job is None:
             estimate = run.estimated_run_s
         else:
             known = estimates.get(run.job_id)
             if known is None:
-                known = estimates[run.job_id] = held.estimate(job)
+                known = estimates[run.job_id] = shard.estimate_run_s(job)
             estimate = known * slowness
         if run.started_at is not None:
             left = remaining_run_time(estimate, now - run.started_at)
@@ -125,15 +125,18 @@
 
 
 def pending_jobs(
-    held: HeldBlock, core: Core, teams: dict[str, Team], snapshots: list[MachineSnapshot]
+    shard: Shard,
+    context: ControllerContext,
+    teams: dict[str, Team],
+    snapshots: list[MachineSnapshot],
 ) -> list[PendingJob]:
     """The jobs with tasks to place, in queue order, within their teams' limits."""
-    now, wall_ms = core.now, core.wall * 1000
+    now, wall_ms = context.now, context.wall_time * 1000
     found: list[PendingJob] = []
     shapes = count_shapes(snapshots)
     unclear: bool | None = None  # looked at only where a team has a limit
-    for job in held.jobs.values():
-        if job.cancelled or job.finished or now < job.retry_at or held.doubtful(job):
+    for job in shard.jobs.values():
+        if job.cancelled or job.finished or now < job.retry_at or shard.is_unreconciled(job):
             continue
         if job.waits_for_dependencies:
             continue
@@ -141,14 +144,18 @@
         if team is not None and team.limited:
             if unclear is None:
                 # Tasks that we cannot see, or cannot ascribe to a team, may use up the limit.
-                unclear = bool(held.unconfirmed) or not held.loaded or held.has_unaccounted_tasks()
+                unclear = (
+                    bool(shard.unreconciled)
+                    or not shard.progress_loaded
+                    or shard.has_unknown_tasks()
+                )
             if unclear:
                 continue
         tasks = job.waiting_count()
         if not tasks or job.gang_restarting:
             continue
-        entry = _pending_job(held, core, job, tasks, shapes, wall_ms)
-        first = first_tasks(job, core) - len(job.runs)
+        entry = _pending_job(shard, context, job, tasks, shapes, wall_ms)
+        first = first_tasks(job, context) - len(job.runs)
         if first > 0:
             # Without an end to it, shortest-first and the urgent queue would starve the rest.
             first = min(first, tasks) if not entry.all_at_once else tasks
@@ -158,50 +165,53 @@
                 continue  # booked in two parts, each would keep its bond without the other
         found.append(entry)
     _mark_late_jobs_overdue(
-        found, held, core, MAX_LATE_WORK_SHARE * sum(snapshot.capacity[0] for snapshot in snapshots)
+        found,
+        shard,
+        context,
+        MAX_LATE_WORK_SHARE * sum(snapshot.capacity[0] for snapshot in snapshots),
     )
     found.sort(key=queue_order)
-    _keep_limits(found, held, teams)
+    _keep_limits(found, shard, teams)
     return [job for job in found if job.task_count]
 
 
-def first_tasks(job: OpenJob, core: Core) -> int:
+def first_tasks(job: OpenJob, context: ControllerContext) -> int:
     """How many tasks of a job go before all others: none, unless none of it has run for long."""
-    waited = core.wall - job.ready_since_ms / 1000
-    if job.completed_count or waited < core.settings.operators.begin_bound_s:
+    waited = context.wall_time - job.ready_since_ms / 1000
+    if job.completed_count or waited < context.settings.operators.begin_bound_s:
         return 0
     return math.ceil(FIRST_SHARE * job.spec.task_count)
 
 
 def _pending_job(
-    held: HeldBlock,
-    core: Core,
+    shard: Shard,
+    context: ControllerContext,
     job: OpenJob,
     tasks: int,
     shapes: MachineShapes,
     wall_ms: float,
 ) -> PendingJob:
     spec = job.spec
-    estimate = held.estimate(job)
+    estimate = shard.estimate_run_s(job)
     left = spec.task_count - job.completed_count
     key = (left, shapes, round(estimate, 1))
     if key != job.remaining_inputs:
         job.remaining_inputs = key
         job.remaining_s = remaining_time(job.resources, estimate, left, shapes)
-    job.update_deadline_risk(core.wall)
+    job.update_deadline_risk(context.wall_time)
     waited = (wall_ms - job.ready_since_ms) / 1000
     avoid = job.failed_machines or None
-    if avoid is not None and avoid >= held.machines.keys():
+    if avoid is not None and avoid >= shard.machines.keys():
         avoid = None  # it failed on all there are: closed to it, they would stand idle beside it
     zone, zone_room = spec.zone, None
     if spec.one_zone and job.runs:
         run = next(iter(job.runs.values()))
-        zone = held.machines[run.machine_id].entry.zone
+        zone = shard.machines[run.machine_id].entry.zone
     if spec.spread:
         most = math.ceil(spec.task_count / 2)
-        zone_room = dict.fromkeys((m.entry.zone for m in held.machines.values()), most)
+        zone_room = dict.fromkeys((m.entry.zone for m in shard.machines.values()), most)
         for run in job.runs.values():
-            at = held.machines[run.machine_id].entry.zone
+            at = shard.machines[run.machine_id].entry.zone
             zone_room[at] = zone_room.get(at, most) - 1
     return PendingJob(
         job.job_id,
@@ -211,7 +221,7 @@
         spec.image,
         spec.image_gb,
         job.remaining_s + job.critical_path_s,
-        job.deadline_at_risk or waited > core.settings.operators.age_bound * estimate,
+        job.deadline_at_risk or waited > context.settings.operators.age_bound * estimate,
         job.ready_since_ms / 1000,
         spec.allow_spot,
         job.priority_level,
@@ -224,16 +234,16 @@
     )
 
 
-def _keep_limits(waiting: list[PendingJob], held: HeldBlock, teams: dict[str, Team]) -> None:
+def _keep_limits(waiting: list[PendingJob], shard: Shard, teams: dict[str, Team]) -> None:
     """Cut the tasks of limited teams to what their limits leave, first jobs first."""
     left: dict[str, list[float]] = {}
     for entry in waiting:
-        job = held.jobs[entry.job_id]
+        job = shard.jobs[entry.job_id]
         team = teams.get(job.spec.team)
         if team is None or not team.limited:
             continue
         if team.name not in left:
-            cpus, gpus = held.usage(team.name)
+            cpus, gpus = shard.team_usage(team.name)
             left[team.name] = [
                 team.cpus_max - cpus if team.cpus_max > 0 else math.inf,
                 team.gpus_max - gpus if team.gpus_max > 0 else math.inf,
@@ -258,30 +268,30 @@
 
 
 def plan_shard(
-    held: HeldBlock, core: Core, registry: Registry, teams: dict[str, Team]
+    shard: Shard, context: ControllerContext, registry: Registry, teams: dict[str, Team]
 ) -> PlacementDecision:
-    snapshots = machine_snapshots(held, registry.machine_types, core.now)
-    waiting = pending_jobs(held, core, teams, snapshots)
-    plan = make_plan(waiting, snapshots, core.now)
+    snapshots = machine_snapshots(shard, registry.machine_types, context.now)
+    waiting = pending_jobs(shard, context, teams, snapshots)
+    plan = make_plan(waiting, snapshots, context.now)
     decision = PlacementDecision({}, [])
     starting: dict[str, list[Booking]] = {}
     for booking in plan.starts:
         starting.setdefault(booking.job_id, []).append(booking)
         decision.starts.setdefault(booking.machine_id, []).append(booking)
     for job, bookings in starting.items():
-        for booking, index in zip(bookings, held.jobs[job].next_tasks(len(bookings)), strict=True):
+        for booking, index in zip(bookings, shard.jobs[job].next_tasks(len(bookings)), strict=True):
             booking.task_index = index
-    patience = _patience(core)
+    patience = _patience(context)
     if patience:
-        decision.stops = _preemptions(held, core, plan, waiting, snapshots, patience)
+        decision.stops = _preemptions(shard, context, plan, waiting, snapshots, patience)
     return decision
 
 
-def _late_after(core: Core) -> dict[str, float]:
+def _late_after(context: ControllerContext) -> dict[str, float]:
     """Classes with an aim on starting, and after how long a job counts as old. Where jobs have
     deadlines, made from their estimates, shortest-first serves more of them."""
     late: dict[str, float] = {}
-    objectives = core.settings.facts.objectives
+    objectives = context.settings.facts.objectives
     dated = {objective.job_class for objective in objectives if objective.kind == "deadline"}
     for objective in objectives:
         if objective.kind == "wait" and objective.within_s and objective.job_class not in dated:
@@ -291,15 +301,15 @@
 
 
 def _mark_late_jobs_overdue(
-    waiting: list[PendingJob], held: HeldBlock, core: Core, room: float
+    waiting: list[PendingJob], shard: Shard, context: ControllerContext, room: float
 ) -> None:
     """Jobs whose class's aim on starting is about to be missed count as past their age bound, the
     shortest first, as far as they fit into `room` processors."""
-    bounds = _late_after(core)
+    bounds = _late_after(context)
     late = []
     for entry in waiting:
-        after = bounds.get(held.jobs[entry.job_id].spec.job_class)
-        waited = core.wall - entry.submitted_at
+        after = bounds.get(shard.jobs[entry.job_id].spec.job_class)
+        waited = context.wall_time - entry.submitted_at
         if after is not None and waited > after and entry.priority_level < URGENT_PRIORITY_LEVEL:
             late.append(entry)
     for entry in sorted(late, key=queue_order):
@@ -309,10 +319,10 @@
         entry.overdue = True
 
 
-def _patience(core: Core) -> dict[str, float]:
+def _patience(context: ControllerContext) -> dict[str, float]:
     """Classes with an aim on starting, and how long their tasks may wait for room."""
     patience: dict[str, float] = {}
-    for objective in core.settings.facts.objectives:
+    for objective in context.settings.facts.objectives:
         if objective.kind == "wait" and objective.within_s:
             wait_s = PATIENCE_SHARE * objective.within_s
             patience[objective.job_class] = min(patience.get(objective.job_class, wait_s), wait_s)
@@ -320,8 +330,8 @@
 
 
 def _preemptions(
-    held: HeldBlock,
-    core: Core,
+    shard: Shard,
+    context: ControllerContext,
     plan: Plan,
     waiting: list[PendingJob],
     snapshots: list[MachineSnapshot],
@@ -330,15 +340,15 @@
     """Stops for urgent tasks that would wait beyond what their class's aim allows."""
     late: list[tuple[PendingJob, int]] = []
     for entry in waiting:
-        job_class = held.jobs[entry.job_id].spec.job_class
+        job_class = shard.jobs[entry.job_id].spec.job_class
         if entry.priority_level < URGENT_PRIORITY_LEVEL or job_class not in patience:
             continue
-        waited = core.wall - entry.submitted_at
+        waited = context.wall_time - entry.submitted_at
         # A stop takes effect with its machine's next report. Room that comes by then cannot be
         # had sooner: without this, a task that was late already had others stopped for it in
         # plan after plan while the first stops were still under way.
-        soonest = STOP_REPORTS * core.report_s + STOP_S
-        until = core.now + max(soonest, patience[job_class] - waited)
+        soonest = STOP_REPORTS * context.report_s + STOP_S
+        until = context.now + max(soonest, patience[job_class] - waited)
         count = sum(1 for start in plan.later.get(entry.job_id, ()) if start > until)
         if count:
             late.append((entry, count))
@@ -351,7 +361,7 @@
             room[snapshot.machine_id] = (free.cpus[0], free.gpus[0], free.memory_gb[0])
     for booking in plan.starts:
         resources, (cpus, gpus, memory_gb) = (
-            held.jobs[booking.job_id].resources,
+            shard.jobs[booking.job_id].resources,
             room[booking.machine_id],
         )
         room[booking.machine_id] = (
@@ -368,7 +378,7 @@
     for snapshot in snapshots:
         if not any(eligible(entry, snapshot) for entry in least):
             continue
-        found = _victims(held, core, snapshot.machine_id, priority_level)
+        found = _victims(shard, context, snapshot.machine_id, priority_level)
         if found or any(_fits(entry.resources, room[snapshot.machine_id]) for entry in least):
             victims[snapshot.machine_id] = found
             offering.append(snapshot)
@@ -376,7 +386,7 @@
     for entry, count in late:
         if not offering:
             break
-        preemptions += choose_victims(entry, count, offering, room, victims, core.now)
+        preemptions += choose_victims(entry, count, offering, room, victims, context.now)
     return preemptions
 
 
@@ -402,12 +412,12 @@
     )
 
 
-def _victims(held: HeldBlock, core: Core, machine_id: str, below: int) -> list[Victim]:
+def _victims(shard: Shard, context: ControllerContext, machine_id: str, below: int) -> list[Victim]:
     """The tasks of a lower rank on a machine, those whose stop loses least for their room first."""
     found = []
-    now = core.now
-    for run in held.machines[machine_id].runs.values():
-        job = held.jobs.get(run.job_id)
+    now = context.now
+    for run in shard.machines[machine_id].runs.values():
+        job = shard.jobs.get(run.job_id)
         if (
             job is None
             or run.stop_grace_s is not None
@@ -417,7 +427,7 @@
             continue
         if job.priority_level >= below:
             continue
-        if len(job.runs) <= first_tasks(job, core):
+        if len(job.runs) <= first_tasks(job, context):
             continue  # it has waited for long enough
         ran = now - run.started_at if run.started_at is not None else 0.0
         if job.spec.checkpoint_interval_s > 0:
--- a/fallpulley/settings.py
+++ b/fallpulley/settings.py
@@ -35,8 +35,8 @@
     """The settings cannot be used; the message names the field."""
 
 
-class Seed(msgspec.Struct, frozen=True):
-    label: Name
+class PeerSettings(msgspec.Struct, frozen=True, rename={"controller_id": "label"}):
+    controller_id: Name
     site: Name
     address: Name
 
@@ -74,7 +74,7 @@
     cancel_s: Positive
 
 
-class LimitsToCome(msgspec.Struct, frozen=True):
+class FutureStateLimits(msgspec.Struct, frozen=True):
     """What the state service will allow from some moment after an upgrade on, unannounced."""
 
     rps: Positive | None = None
@@ -83,16 +83,16 @@
     txn_ops: Annotated[int, Meta(ge=4)] | None = None
 
 
-class StateLimits(msgspec.Struct, frozen=True):
+class StateLimits(msgspec.Struct, frozen=True, rename={"future": "next"}):
     rps: Positive
     write_rps: Positive
     value_kb: Positive
     txn_ops: Annotated[int, Meta(ge=4)]
-    next: LimitsToCome | None = None
+    future: FutureStateLimits | None = None
 
-    def lesser(self) -> StateLimits:
+    def strictest(self) -> StateLimits:
         """The lesser of what holds now and what is to come, each by itself."""
-        to_come = self.next
+        to_come = self.future
         if to_come is None:
             return self
         return StateLimits(
@@ -173,14 +173,14 @@
     duties: DutiesSettings = DutiesSettings()
 
 
-class Settings(msgspec.Struct, frozen=True):
-    label: Name
+class Settings(msgspec.Struct, frozen=True, rename={"controller_id": "label", "peers": "seeds"}):
+    controller_id: Name
     site: Name
     serve_on: Name
     mesh_addr: Name
     endpoints: Endpoints
     facts: Facts
-    seeds: list[Seed] = []
+    peers: list[PeerSettings] = []
     operators: Operators = Operators()
 
 
@@ -199,13 +199,13 @@
         "endpoints.cloud": settings.endpoints.cloud,
         "endpoints.state": settings.endpoints.state,
     }
-    named |= {f"seeds[{i}].address": seed.address for i, seed in enumerate(settings.seeds)}
+    named |= {f"seeds[{i}].address": seed.address for i, seed in enumerate(settings.peers)}
     for field, address in named.items():
         try:
             split_address(address)
         except ValueError as error:
             raise SettingsError(f"{field}: {error}") from None
-    labels = [settings.label] + [seed.label for seed in settings.seeds]
+    labels = [settings.controller_id] + [seed.controller_id for seed in settings.peers]
     for label in labels:
         if "/" in label or any(c.isspace() for c in label):
             raise SettingsError(f"label: {label!r} holds a slash or a space")
@@ -229,7 +229,7 @@
         return
     from fallpulley.shares.policy import PolicyError, check_expression
 
-    labels = [settings.label, *(seed.label for seed in settings.seeds)]
+    labels = [settings.controller_id, *(seed.controller_id for seed in settings.peers)]
     try:
         check_expression(shares.policy, labels)
     except PolicyError as error:
--- a/fallpulley/shares/command.py
+++ b/fallpulley/shares/command.py
@@ -12,7 +12,7 @@
 
 from fallpulley.exits import CONFLICT, FAILED, OK, REFUSED, UNREACHABLE, USAGE
 from fallpulley.settings import split_address
-from fallpulley.shares.messages import ErrorAnswer, SetShares, Share, SharesAnswer
+from fallpulley.shares.messages import ErrorResponse, SetShares, Share, SharesResponse
 from fallpulley.wire.client import Client
 
 TIMEOUT_S = 5.0
@@ -99,7 +99,7 @@
         _complain("shares are off: set `[shares] enabled = true` and restart the controllers")
         return FAILED
     try:
-        error = msgspec.json.decode(body, type=ErrorAnswer)
+        error = msgspec.json.decode(body, type=ErrorResponse)
     except msgspec.MsgspecError:
         _complain(f"the controller answered {status}")
         return FAILED
@@ -113,25 +113,25 @@
     return UNREACHABLE
 
 
-def print_answer(answer: SharesAnswer, as_json: bool) -> None:
+def print_answer(answer: SharesResponse, as_json: bool) -> None:
     """The shares and the blocks, as tables or as JSON."""
     if as_json:
         print(msgspec.json.encode(answer).decode())
         return
     age = f"{answer.age_s:.1f} s"
-    print(f"revision {answer.revision} by {answer.controller}, records of {age} ago")
+    print(f"revision {answer.revision} by {answer.controller_id}, records of {age} ago")
     print(f"{'controller':<24} {'weight':>7} {'floor':>7} {'ceiling':>7}  teams")
     for label, share in answer.shares.items():
         ceiling = f"{share.ceiling:g}" if share.ceiling else "-"
         teams = ", ".join(share.teams) or "-"
         print(f"{label:<24} {share.weight:>7g} {share.floor:>7g} {ceiling:>7}  {teams}")
     print(f"{'block':<24} {'holder':<24} {'target':>7} {'has':>7} {'machines':>8}  state")
-    for block in answer.blocks:
-        draining = f", {block.draining} draining" if block.draining else ""
-        target = "-" if block.target is None else f"{block.target:g}"
+    for shard in answer.shards:
+        draining = f", {shard.draining} draining" if shard.draining else ""
+        target = "-" if shard.target is None else f"{shard.target:g}"
         print(
-            f"{block.block:<24} {block.holder or '-':<24} {target:>7} {block.processors:>7g}"
-            f" {block.machines:>8}  {block.state}{draining}"
+            f"{shard.shard_id:<24} {shard.owner or '-':<24} {target:>7} {shard.processors:>7g}"
+            f" {shard.machines:>8}  {shard.state}{draining}"
         )
 
 
@@ -145,14 +145,14 @@
         if answer is None or answer[0] != 200:
             tasks.cancel_scope.cancel()
             return _failure(answer)
-        shown = msgspec.json.decode(answer[1], type=SharesAnswer)
+        shown = msgspec.json.decode(answer[1], type=SharesResponse)
         shown, code = await _wait(caller, shown, getattr(options, "wait", 0.0))
         print_answer(shown, options.json)
         tasks.cancel_scope.cancel()
     return code
 
 
-async def _wait(caller: Caller, shown: SharesAnswer, wait_s: float) -> tuple[SharesAnswer, int]:
+async def _wait(caller: Caller, shown: SharesResponse, wait_s: float) -> tuple[SharesResponse, int]:
     """Look again until the blocks match their shares, for so long."""
     if wait_s <= 0:
         return shown, OK
@@ -161,10 +161,10 @@
         await anyio.sleep(POLL_S)
         answer = await caller.ask("GET", None)
         if answer is not None and answer[0] == 200:
-            shown = msgspec.json.decode(answer[1], type=SharesAnswer)
+            shown = msgspec.json.decode(answer[1], type=SharesResponse)
     if shown.converged:
         return shown, OK
-    states = ", ".join(f"{block.block}: {block.state}" for block in shown.blocks)
+    states = ", ".join(f"{shard.shard_id}: {shard.state}" for shard in shown.shards)
     _complain(f"not there after {wait_s:g} s ({states})")
     return shown, FAILED
 
--- a/fallpulley/shares/messages.py
+++ b/fallpulley/shares/messages.py
@@ -46,11 +46,11 @@
     expect: int | None = None  # the revision that it was decided on; null: whatever there is
 
 
-class BlockState(msgspec.Struct, frozen=True):
+class ShardState(msgspec.Struct, frozen=True, rename={"shard_id": "block", "owner": "holder"}):
     """How far a block is from its share."""
 
-    block: str
-    holder: str
+    shard_id: str
+    owner: str
     target: float | None  # processors; null: no shares are set, any number will do
     processors: float
     machines: int
@@ -58,18 +58,20 @@
     draining: int | None = None  # machines that take nothing new; null: not known here
 
 
-class SharesAnswer(msgspec.Struct, frozen=True):
+class SharesResponse(
+    msgspec.Struct, frozen=True, rename={"controller_id": "controller", "shards": "blocks"}
+):
     """The shares and the blocks, as the controller that answers sees them."""
 
-    controller: str
+    controller_id: str
     revision: int
     shares: dict[str, Share]
-    blocks: list[BlockState]
+    shards: list[ShardState]
     age_s: float  # of the controller's copy of the records
     converged: bool
 
 
-class ErrorAnswer(msgspec.Struct, frozen=True):
+class ErrorResponse(msgspec.Struct, frozen=True):
     """Why nothing was changed."""
 
     error: str
@@ -81,4 +83,4 @@
 MOVING = "moving"
 WAITING_FOR_TASKS = "waiting for tasks"
 CONTROLLER_ABSENT = "controller absent"
-DOUBT = "doubt after takeover"
+UNRECONCILED = "doubt after takeover"
--- a/fallpulley/shares/policy.py
+++ b/fallpulley/shares/policy.py
@@ -20,9 +20,9 @@
 
 log = logging.getLogger(__name__)
 
-EXPRESSION_MOST = 2000  # characters
+MAX_EXPRESSION_LENGTH = 2000  # characters
 MACROS = (".map(", ".filter(", ".all(", ".exists(", ".exists_one(")
-MACROS_MOST = 4  # nested, each would multiply the time by the number of blocks
+MAX_MACROS = 4  # nested, each would multiply the time by the number of blocks
 # An evaluation that takes longer ends the policy: it would hold up the controller.
 EVALUATION_S = 0.05
 # Parts of the fleet, by weights, that differ by less are left as they are.
@@ -48,10 +48,10 @@
 
 def compiled(expression: str) -> Evaluate:
     """The expression as a function; raises `PolicyError` when it can't be one."""
-    if len(expression) > EXPRESSION_MOST:
-        raise PolicyError(f"longer than {EXPRESSION_MOST} characters")
-    if sum(expression.count(macro) for macro in MACROS) > MACROS_MOST:
-        raise PolicyError(f"more than {MACROS_MOST} macros")
+    if len(expression) > MAX_EXPRESSION_LENGTH:
+        raise PolicyError(f"longer than {MAX_EXPRESSION_LENGTH} characters")
+    if sum(expression.count(macro) for macro in MACROS) > MAX_MACROS:
+        raise PolicyError(f"more than {MAX_MACROS} macros")
     import celpy
     from celpy.adapter import json_to_cel
 
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.blocks.registry import Registry
-from fallpulley.blocks.writer import BlockWriter
-from fallpulley.core import Core
+from fallpulley.blocks.writer import ShardWriter
+from fallpulley.core import ControllerContext
 from fallpulley.shares.messages import ShareTable
 from fallpulley.shares.table import Move, moves, targets
-from fallpulley.state.client import Bucket
+from fallpulley.state.client import TokenBucket
 from fallpulley.workers.machine import Machine
 
 log = logging.getLogger(__name__)
@@ -36,17 +36,17 @@
 class Reconciler:
     """Marks and moves the machines of held blocks."""
 
-    def __init__(self, core: Core, registry: Registry, writer: BlockWriter) -> None:
-        self.core = core
+    def __init__(self, context: ControllerContext, registry: Registry, writer: ShardWriter) -> None:
+        self.context = context
         self.registry = registry
         self.writer = writer
-        facts = core.settings.facts
+        facts = context.settings.facts
         rate = facts.state.write_rps / max(1, facts.nodes) * MOVE_SHARE / MOVE_CHANGES
-        self._bucket = Bucket(rate)
+        self._bucket = TokenBucket(rate)
 
     def targets(self, table: ShareTable, busy: set[str]) -> Targets:
         """`busy`: blocks with unfinished jobs, which keep a machine whatever their share."""
-        actual = {label: self.processors(label) for label in self.registry.blocks}
+        actual = {label: self.processors(label) for label in self.registry.shards}
         fleet = sum(actual.values())
         shares = {label: share for label, share in table.shares.items() if label in actual}
         wanted = dict.fromkeys(actual, 0.0) | targets(shares, fleet)
@@ -78,7 +78,7 @@
         ]
 
     def _sizes(self, label: str) -> set[float]:
-        record, _ = self.registry.blocks[label]
+        record, _ = self.registry.shards[label]
         types = self.registry.machine_types
         return {
             types[m.machine_type].cpus for m in record.machines.values() if m.machine_type in types
@@ -86,21 +86,21 @@
 
     # -- a held block ----------------------------------------------------------------------
 
-    def reconcile(self, held: HeldBlock, found: Targets) -> None:
+    def reconcile(self, shard: Shard, found: Targets) -> None:
         """Mark what is to leave, and let go of what has become empty."""
-        own = [move for move in moves(found.actual, found.wanted) if move.giver == held.label]
-        leaving = self._choose(held, own)
-        for machine_id, machine in held.machines.items():
-            self._mark(held, machine, machine_id in leaving)
-        self._bucket.refill(self.core.now)
-        if leaving and self._bucket.tokens >= 1 and not self.writer.handing.get(held.label):
-            self._move_empty(held, leaving)
+        own = [move for move in moves(found.actual, found.wanted) if move.giver == shard.shard_id]
+        leaving = self._choose(shard, own)
+        for machine_id, machine in shard.machines.items():
+            self._set_draining(shard, machine, machine_id in leaving)
+        self._bucket.refill(self.context.now)
+        if leaving and self._bucket.tokens >= 1 and not self.writer.moving.get(shard.shard_id):
+            self._move_empty(shard, leaving)
 
     def _cpus(self, machine: Machine) -> float:
         kind = self.registry.machine_types.get(machine.entry.machine_type)
         return kind.cpus if kind is not None else 0.0
 
-    def _choose(self, held: HeldBlock, own: list[Move]) -> dict[str, str]:
+    def _choose(self, shard: Shard, own: list[Move]) -> dict[str, str]:
         """Machines to leave and the blocks that get them, those first whose leaving disturbs
         least: idle, marked already, then with the least running."""
 
@@ -110,7 +110,7 @@
 
         chosen: dict[str, str] = {}
         left = list(own)
-        for machine in sorted(held.machines.values(), key=disturbed):
+        for machine in sorted(shard.machines.values(), key=disturbed):
             cpus = self._cpus(machine)
             if cpus <= 0 or machine.leaving_shard or not machine.usable:
                 continue
@@ -121,31 +121,33 @@
             left = [_after(other, move.taker, cpus) for other in left]
         return chosen
 
-    def _mark(self, held: HeldBlock, machine: Machine, leaves: bool) -> None:
+    def _set_draining(self, shard: Shard, machine: Machine, leaves: bool) -> None:
         if machine.draining == leaves:
             return
         machine.draining = leaves
         machine.snapshot = None
-        held.dirty = True
+        shard.needs_replan = True
         if leaves:
-            held.booked.pop(machine.machine_id, None)
-        log.debug("machine draining=%s machine=%s block=%s", leaves, machine.machine_id, held.label)
+            shard.bookings.pop(machine.machine_id, None)
+        log.debug(
+            "machine draining=%s machine=%s block=%s", leaves, machine.machine_id, shard.shard_id
+        )
 
-    def _move_empty(self, held: HeldBlock, leaving: dict[str, str]) -> None:
+    def _move_empty(self, shard: Shard, leaving: dict[str, str]) -> None:
         moved = 0
         for machine_id, taker in leaving.items():
-            machine = held.machines[machine_id]
+            machine = shard.machines[machine_id]
             if not machine.empty:
                 continue
             machine.leaving_shard = True
-            held.marks_due[machine_id] = None
-            held.booked.pop(machine_id, None)
-            held.dirty = True
-            self.writer.hand_over(held.label, machine_id, taker)
+            shard.occupancy_due[machine_id] = None
+            shard.bookings.pop(machine_id, None)
+            shard.needs_replan = True
+            self.writer.move(shard.shard_id, machine_id, taker)
             moved += 1
         if moved:
             self._bucket.tokens -= 1
-            log.info("machines moved by shares n=%d from=%s", moved, held.label)
+            log.info("machines moved by shares n=%d from=%s", moved, shard.shard_id)
 
 
 def _after(move: Move, taker: str, cpus: float) -> Move:
--- a/fallpulley/shares/table.py
+++ b/fallpulley/shares/table.py
@@ -22,7 +22,7 @@
 
     controllers: Collection[str]
     teams: Mapping[str, Team]
-    homes: Mapping[str, str]  # limited team -> the block that it lives in
+    team_shards: Mapping[str, str]  # limited team -> the block that it lives in
     fleet: float  # processors; 0: not known yet
 
 
@@ -75,7 +75,7 @@
         raise RefusedError(f"no team {name}")
     if places.get(name, label) != label:
         raise RefusedError(f"team {name} stands at {places[name]} and at {label}")
-    home = situation.homes.get(name)
+    home = situation.team_shards.get(name)
     if team.limited and home is not None and home != label:
         raise RefusedError(f"team {name} has a limit and lives in block {home}")
 
--- a/fallpulley/standby/follower.py
+++ b/fallpulley/standby/follower.py
@@ -32,23 +32,23 @@
     parts: list[Snapshot]
 
 
-class Holder(msgspec.Struct, frozen=True):
+class Owner(msgspec.Struct, frozen=True):
     """Who holds a block by the records, and the newest stamp of its record."""
 
-    label: str
-    boot: str
-    stamp: int
+    controller_id: str
+    incarnation: str
+    mod_revision: int
 
 
-HolderOf = Callable[[str], Holder | None]
+OwnerOf = Callable[[str], Owner | None]
 
 
 class Followed(msgspec.Struct):
     """What is known of a block that somebody else holds."""
 
     token: int = 0  # the highest seen: messages under a lower one are of a replaced holder
-    holder: str = ""
-    boot: str = ""
+    owner: str = ""
+    incarnation: str = ""
     replica: Replica | None = None
     assembly: Assembly | None = None
     newest: int = 0  # the holder's newest entry, as it last said
@@ -60,47 +60,50 @@
 class Follower:
     """Keeps the replicas of one controller."""
 
-    def __init__(self, label: str, holder_of: HolderOf) -> None:
-        self.label = label
-        self.blocks: dict[str, Followed] = {}
+    def __init__(self, controller_id: str, holder_of: OwnerOf) -> None:
+        self.controller_id = controller_id
+        self.shards: dict[str, Followed] = {}
         self.dropped: dict[str, int] = {}  # why -> how many messages
-        self._holder_of = holder_of
+        self._owner_of = holder_of
 
     def _token_above(self, followed: Followed, message: LogBatch | SnapshotPart) -> int | None:
         """A token of the block that shows that the message's sender was replaced; None: it was
         not, as far as is known here."""
         if message.token < followed.token:
             return followed.token
-        holder = self._holder_of(message.block)
-        if holder is None or (holder.label, holder.boot) == (message.label, message.boot):
+        owner = self._owner_of(message.shard_id)
+        if owner is None or (owner.controller_id, owner.incarnation) == (
+            message.controller_id,
+            message.incarnation,
+        ):
             return None
         # Not the holder that the records show here: a later one, or one from before.
-        return None if message.token > holder.stamp else holder.stamp
+        return None if message.token > owner.mod_revision else owner.mod_revision
 
-    def take(
+    def receive(
         self, message: LogBatch | SnapshotPart, now: float
     ) -> Acknowledgement | Replaced | None:
         """Bring a replica up to date; the answer for the holder, or None for a dropped message."""
-        followed = self.blocks.setdefault(message.block, Followed())
+        followed = self.shards.setdefault(message.shard_id, Followed())
         if message.format != FORMAT:
             self._drop("format", message)
             return None
         above = self._token_above(followed, message)
         if above is not None:
             self._drop("replaced", message)
-            return Replaced(self.label, message.block, above)
+            return Replaced(self.controller_id, message.shard_id, above)
         if message.token > followed.token:
             followed.token = message.token
             followed.replica = None
             followed.assembly = None
-        followed.holder = message.label
-        followed.boot = message.boot
+        followed.owner = message.controller_id
+        followed.incarnation = message.incarnation
         followed.heard_at = now
         try:
             if isinstance(message, SnapshotPart):
-                self._take_part(followed, message)
+                self._add_snapshot_part(followed, message)
             else:
-                self._take_batch(followed, message)
+                self._apply_batch(followed, message)
         except (PayloadError, msgspec.MsgspecError) as error:
             self._drop("damaged", message, str(error))
             followed.replica = None
@@ -109,9 +112,9 @@
             self._drop("gap", message, str(error))
             followed.replica = None
         self._note_lag(followed, now)
-        return self._answer(message.block, followed)
+        return self._answer(message.shard_id, followed)
 
-    def _take_batch(self, followed: Followed, message: LogBatch) -> None:
+    def _apply_batch(self, followed: Followed, message: LogBatch) -> None:
         entries = msgspec.json.decode(unpack(message.payload, message.checksum), type=list[Entry])
         followed.newest = max(message.last, message.first - 1 + len(entries))
         followed.positions = message.positions
@@ -120,7 +123,7 @@
             if entries:
                 followed.assembly = None  # the log goes on: no snapshot is needed any more
 
-    def _take_part(self, followed: Followed, message: SnapshotPart) -> None:
+    def _add_snapshot_part(self, followed: Followed, message: SnapshotPart) -> None:
         state = msgspec.json.decode(unpack(message.payload, message.checksum), type=Snapshot)
         replica, assembly = followed.replica, followed.assembly
         if replica is not None and replica.last >= message.last:
@@ -137,11 +140,11 @@
             assembly.parts.append(state)
         if len(assembly.parts) == message.parts:
             state = join(assembly.parts)
-            followed.replica = Replica(message.block, message.token, message.last, state)
+            followed.replica = Replica(message.shard_id, message.token, message.last, state)
             followed.assembly = None
             log.info(
                 "replica begins block=%s term=%d entry=%d machines=%d",
-                message.block,
+                message.shard_id,
                 message.token,
                 message.last,
                 len(state.machines),
@@ -159,22 +162,22 @@
             return followed.newest + 1
         return max(0, followed.newest - followed.replica.last)
 
-    def _answer(self, block: str, followed: Followed) -> Acknowledgement:
+    def _answer(self, shard_id: str, followed: Followed) -> Acknowledgement:
         replica, assembly = followed.replica, followed.assembly
         last = replica.last if replica is not None else -1
         if assembly is not None and assembly.last > last:
             part = len(assembly.parts)
         else:
             part = NO_SNAPSHOT if replica is not None else 0
-        return Acknowledgement(self.label, block, followed.token, last, part)
+        return Acknowledgement(self.controller_id, shard_id, followed.token, last, part)
 
     def _drop(self, why: str, message: LogBatch | SnapshotPart, detail: str = "") -> None:
         self.dropped[why] = self.dropped.get(why, 0) + 1
         log.info(
             "replication dropped why=%s block=%s from=%s term=%d %s",
             why,
-            message.block,
-            message.label,
+            message.shard_id,
+            message.controller_id,
             message.token,
             detail,
         )
--- a/fallpulley/standby/messages.py
+++ b/fallpulley/standby/messages.py
@@ -14,8 +14,8 @@
 # The format of entries and snapshots; a message in another one is dropped and counted.
 FORMAT = 1
 # Most bytes of a payload, as sent and unpacked: a request holds 64 KiB, in base64.
-PACKED_MOST = 40 * 1024
-PLAIN_MOST = 1024 * 1024
+MAX_PACKED_BYTES = 40 * 1024
+MAX_UNPACKED_BYTES = 1024 * 1024
 COMPRESSION_LEVEL = 3
 
 
@@ -27,9 +27,9 @@
     """Entries of the log from `first` on; none: asks the follower where it stands."""
 
     format: int
-    label: str  # the holder and its process
-    boot: str
-    block: str
+    controller_id: str  # the holder and its process
+    incarnation: str
+    shard_id: str
     token: int  # the stamp at which the holder took the block
     first: int
     last: int  # the newest entry of the log, whether sent or not
@@ -42,9 +42,9 @@
     """A part of the state as of entry `last`; a replica begins with all of them."""
 
     format: int
-    label: str
-    boot: str
-    block: str
+    controller_id: str
+    incarnation: str
+    shard_id: str
     token: int
     last: int
     part: int
@@ -56,8 +56,8 @@
 class Acknowledgement(msgspec.Struct, tag="standby_ack", array_like=True):
     """Where a follower stands with a block."""
 
-    label: str  # the follower
-    block: str
+    controller_id: str  # the follower
+    shard_id: str
     token: int  # the holder's, under which it follows
     last: int  # the last entry applied
     snapshot_part: int  # the next part it needs; -1: it needs none
@@ -66,8 +66,8 @@
 class Replaced(msgspec.Struct, tag="standby_replaced", array_like=True):
     """A holder's message came after somebody else took the block."""
 
-    label: str  # who says so
-    block: str
+    controller_id: str  # who says so
+    shard_id: str
     token: int  # of the later holder
 
 
@@ -101,12 +101,12 @@
     """The JSON of a payload; raises `PayloadError` when it is damaged or too large."""
     if checksum_of(payload) != checksum:
         raise PayloadError("checksum differs")
-    if len(payload) > PACKED_MOST:
+    if len(payload) > MAX_PACKED_BYTES:
         raise PayloadError("too large")
     try:
         parameters = zstandard.get_frame_parameters(payload)
-        if parameters.content_size > PLAIN_MOST:
+        if parameters.content_size > MAX_UNPACKED_BYTES:
             raise PayloadError("too large unpacked")
-        return zstandard.ZstdDecompressor().decompress(payload, max_output_size=PLAIN_MOST)
+        return zstandard.ZstdDecompressor().decompress(payload, max_output_size=MAX_UNPACKED_BYTES)
     except zstandard.ZstdError as error:
         raise PayloadError(str(error)) from None
--- a/fallpulley/standby/replica.py
+++ b/fallpulley/standby/replica.py
@@ -50,7 +50,7 @@
 class Replica(msgspec.Struct, frozen=True):
     """The state of a block as of its holder's entry `last`, under the token of its tenure."""
 
-    block: str
+    shard_id: str
     token: int
     last: int
     state: Snapshot
@@ -72,7 +72,7 @@
     after = Snapshot(dict(state.machines), dict(state.jobs), dict(state.factors))
     for entry in fresh:
         _apply_one(after, entry)
-    return Replica(replica.block, replica.token, replica.last + len(fresh), after)
+    return Replica(replica.shard_id, replica.token, replica.last + len(fresh), after)
 
 
 def _apply_one(state: Snapshot, entry: Entry) -> None:
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -5,10 +5,10 @@
 import logging
 from collections.abc import Callable
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.blocks.registry import Registry
-from fallpulley.core import Core
-from fallpulley.standby.follower import Followed, Follower, Holder
+from fallpulley.core import ControllerContext
+from fallpulley.standby.follower import Followed, Follower, Owner
 from fallpulley.standby.messages import (
     Acknowledgement,
     LogBatch,
@@ -17,7 +17,7 @@
     decode,
     encode,
 )
-from fallpulley.standby.stream import BlockStream, Limits
+from fallpulley.standby.stream import Limits, ShardStream
 from fallpulley.standby.takeover import Expected, compare, seed
 
 log = logging.getLogger(__name__)
@@ -42,164 +42,168 @@
 class Standby:
     """The only part of the package that the controller knows."""
 
-    def __init__(self, core: Core, registry: Registry, send: Send) -> None:
-        self.core = core
+    def __init__(self, context: ControllerContext, registry: Registry, send: Send) -> None:
+        self.context = context
         self.registry = registry
         self.send = send
-        facts, settings = core.settings.facts, core.settings.operators.standby
+        facts, settings = context.settings.facts, context.settings.operators.standby
         self.limits = Limits(
             settings.batch_s,
             int(LOG_REPORTS * facts.machine_limits.sockets),
             facts.machine_limits.core_share * SEND_SHARE / BYTE_S,
         )
-        self.follower = Follower(core.label, self._holder_of)
-        self.streams: dict[str, BlockStream] = {}
+        self.follower = Follower(context.controller_id, self._owner_of)
+        self.streams: dict[str, ShardStream] = {}
         self.expected: dict[str, Expected] = {}
         self._replaced: set[str] = set()  # blocks whose replacement was told in the log
         self._lagging: set[str] = set()
         self._next_at = float("-inf")
         self._next_status = float("-inf")
 
-    def _holder_of(self, block: str) -> Holder | None:
-        entry = self.registry.blocks.get(block)
+    def _owner_of(self, shard_id: str) -> Owner | None:
+        entry = self.registry.shards.get(shard_id)
         if entry is None:
             return None
-        record, stamp = entry
-        return Holder(record.holder, record.boot, stamp)
+        record, mod_revision = entry
+        return Owner(record.owner, record.incarnation, mod_revision)
 
     # -- events of the controller ----------------------------------------------------------
 
-    def block_held(self, held: HeldBlock, previous: tuple[str, str] | None) -> None:
+    def shard_acquired(self, shard: Shard, previous: tuple[str, str] | None) -> None:
         """The block is ours from now on. `previous`: label and process of its last holder."""
-        followed = self.follower.blocks.pop(held.label, None)
-        self._replaced.discard(held.label)
-        self.expected.pop(held.label, None)
+        followed = self.follower.shards.pop(shard.shard_id, None)
+        self._replaced.discard(shard.shard_id)
+        self.expected.pop(shard.shard_id, None)
         if followed is not None and followed.replica is not None:
-            if previous == (followed.holder, followed.boot):
-                self.expected[held.label] = seed(held, followed.replica)
+            if previous == (followed.owner, followed.incarnation):
+                self.expected[shard.shard_id] = seed(shard, followed.replica)
         elif previous is not None:
-            log.info("takeover without replica block=%s", held.label)
-        followers = [seed.label for seed in self.core.settings.seeds]
-        stream = BlockStream(held, self.core.label, self.core.boot, followers, self.limits)
-        held.decisions = stream.log
-        self.streams[held.label] = stream
+            log.info("takeover without replica block=%s", shard.shard_id)
+        followers = [seed.controller_id for seed in self.context.settings.peers]
+        stream = ShardStream(
+            shard, self.context.controller_id, self.context.incarnation, followers, self.limits
+        )
+        shard.decisions = stream.log
+        self.streams[shard.shard_id] = stream
 
-    def block_lost(self, block: str) -> None:
+    def shard_lost(self, shard_id: str) -> None:
         """Somebody else holds it."""
-        self.streams.pop(block, None)
-        self.expected.pop(block, None)
+        self.streams.pop(shard_id, None)
+        self.expected.pop(shard_id, None)
 
-    def session_began(self, label: str) -> None:
+    def session_began(self, controller_id: str) -> None:
         """The records show a new process of a controller."""
         for stream in self.streams.values():
-            stream.follower_began(label)
+            stream.follower_began(controller_id)
 
-    def take(self, body: bytes) -> None:
+    def receive(self, body: bytes) -> None:
         """A message from a peer."""
         message = decode(body)
         if message is None:
             self.follower.dropped["malformed"] = self.follower.dropped.get("malformed", 0) + 1
         elif isinstance(message, Acknowledgement):
-            self._acknowledged(message)
+            self._on_acknowledgement(message)
         elif isinstance(message, Replaced):
-            self._told_replaced(message)
+            self._on_replaced(message)
         else:
-            self._answer(message.label, self._followed(message))
+            self._answer(message.controller_id, self._followed(message))
 
     def _followed(self, message: LogBatch | SnapshotPart) -> Acknowledgement | Replaced | None:
-        stream = self.streams.get(message.block)
+        stream = self.streams.get(message.shard_id)
         if stream is not None and message.token <= stream.token:
             # We hold the block: the sender was replaced by us and does not know it yet.
-            return Replaced(self.core.label, message.block, stream.token)
-        return self.follower.take(message, self.core.now)
+            return Replaced(self.context.controller_id, message.shard_id, stream.token)
+        return self.follower.receive(message, self.context.now)
 
-    def _answer(self, label: str, answer: Acknowledgement | Replaced | None) -> None:
+    def _answer(self, controller_id: str, answer: Acknowledgement | Replaced | None) -> None:
         if answer is not None:
-            self.send(label, encode(answer))
+            self.send(controller_id, encode(answer))
 
-    def _acknowledged(self, answer: Acknowledgement) -> None:
-        stream = self.streams.get(answer.block)
+    def _on_acknowledgement(self, answer: Acknowledgement) -> None:
+        stream = self.streams.get(answer.shard_id)
         if stream is not None:
             stream.acknowledged(answer)
 
-    def _told_replaced(self, message: Replaced) -> None:
+    def _on_replaced(self, message: Replaced) -> None:
         """Also when our own copy of the records does not show it yet: said in the log, no more.
         The records decide, and until they are seen the answer window holds."""
-        stream = self.streams.get(message.block)
-        if stream is None or message.token <= stream.token or message.block in self._replaced:
+        stream = self.streams.get(message.shard_id)
+        if stream is None or message.token <= stream.token or message.shard_id in self._replaced:
             return
-        self._replaced.add(message.block)
+        self._replaced.add(message.shard_id)
         log.info(
             "replaced as holder block=%s term=%d by_term=%d told_by=%s",
-            message.block,
+            message.shard_id,
             stream.token,
             message.token,
-            message.label,
+            message.controller_id,
         )
 
     # -- time ------------------------------------------------------------------------------
 
     def tick(self) -> None:
         """Send what is due, and see how far replicas are behind."""
-        now = self.core.now
+        now = self.context.now
         if now < self._next_at:
             return
         self._next_at = now + 0.25 * self.limits.batch_s
         for stream in self.streams.values():
-            for label, message in stream.due(now):
-                self.send(label, encode(message))
+            for controller_id, message in stream.due(now):
+                self.send(controller_id, encode(message))
         if now >= self._next_status:
             self._next_status = now + STATUS_BATCHES * self.limits.batch_s
-            self._tell_status()
-        for block, followed in self.follower.blocks.items():
-            self._tell_lag(block, followed)
-        for block, expected in self.expected.items():
-            stream = self.streams[block]
-            if not expected.compared and not stream.held.unconfirmed:
-                compare(stream.held, expected)
-
-    def _tell_status(self) -> None:
-        for block, stream in self.streams.items():
-            lags = ",".join(f"{label}:{lag}" for label, lag in stream.lags().items())
+            self._log_status()
+        for shard_id, followed in self.follower.shards.items():
+            self._log_lag(shard_id, followed)
+        for shard_id, expected in self.expected.items():
+            stream = self.streams[shard_id]
+            if not expected.compared and not stream.shard.unreconciled:
+                compare(stream.shard, expected)
+
+    def _log_status(self) -> None:
+        for shard_id, stream in self.streams.items():
+            lags = ",".join(
+                f"{controller_id}:{lag}" for controller_id, lag in stream.lags().items()
+            )
             log.info(
                 "replication block=%s term=%d entries=%d bytes=%d lags=%s",
-                block,
+                shard_id,
                 stream.token,
                 stream.log.last,
                 stream.sent_bytes,
                 lags,
             )
 
-    def _tell_lag(self, block: str, followed: Followed) -> None:
+    def _log_lag(self, shard_id: str, followed: Followed) -> None:
         since = followed.behind_since
-        late_s = self.core.now - since if since is not None else 0.0
+        late_s = self.context.now - since if since is not None else 0.0
         if late_s > LAG_BATCHES * self.limits.batch_s:
-            if block not in self._lagging:
-                self._lagging.add(block)
+            if shard_id not in self._lagging:
+                self._lagging.add(shard_id)
                 log.info(
                     "replica lags block=%s entries=%d seconds=%.1f",
-                    block,
+                    shard_id,
                     self.follower.lag(followed),
                     late_s,
                 )
-        elif block in self._lagging and since is None:
-            self._lagging.discard(block)
-            log.info("replica caught up block=%s", block)
+        elif shard_id in self._lagging and since is None:
+            self._lagging.discard(shard_id)
+            log.info("replica caught up block=%s", shard_id)
 
     def hold_off_s(self) -> float:
         """How long to leave the lead to a controller whose replica is fresher; it is taken in the
         end whether or not that one is there."""
-        for block, (record, _) in self.registry.blocks.items():
-            if not self.registry.holder_alive(record) and self._others_fresher(block):
-                return YIELD_SESSIONS * self.core.session_s
+        for shard_id, (record, _) in self.registry.shards.items():
+            if not self.registry.owner_alive(record) and self._others_fresher(shard_id):
+                return YIELD_SESSIONS * self.context.session_s
         return 0.0
 
-    def _others_fresher(self, block: str) -> bool:
+    def _others_fresher(self, shard_id: str) -> bool:
         """Somebody who is there has a fresher replica, or may have one while we have none: a
         process that has just begun knew nothing, and yet it once was faster than all others."""
-        there = self.registry.sessions.keys() - {self.core.label}
-        followed = self.follower.blocks.get(block)
+        there = self.registry.sessions.keys() - {self.context.controller_id}
+        followed = self.follower.shards.get(shard_id)
         if followed is None or followed.replica is None:
             return bool(there)
         last = followed.replica.last
-        return any(followed.positions.get(label, -1) > last for label in there)
+        return any(followed.positions.get(controller_id, -1) > last for controller_id in there)
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.standby.entries import (
     Cached,
     ClassLearned,
@@ -34,7 +34,7 @@
     pack,
 )
 from fallpulley.standby.replica import JobCopy, MachineCopy, Snapshot
-from fallpulley.state.client import Bucket
+from fallpulley.state.client import TokenBucket
 from fallpulley.workers.machine import Machine, TaskRun
 
 # Entries in a message, and machines or jobs in a part of a snapshot: packed, some 10 KiB.
@@ -45,7 +45,7 @@
 # With nothing new to tell, a message goes so much more rarely: it shows that there is nothing.
 IDLE_BATCHES = 4.0
 # A follower that never answered, an older version perhaps, is asked so much more rarely.
-SILENT_BATCHES = 20.0
+UNRESPONSIVE_BATCHES = 20.0
 
 
 class Limits(msgspec.Struct, frozen=True):
@@ -95,51 +95,56 @@
     def task_stopped(self, run: TaskRun) -> None:
         self._append(Stopped(run.machine_id, run.task_id, run.attempt))
 
-    def task_left(self, run: TaskRun, cause: str) -> None:
+    def task_gone(self, run: TaskRun, cause: str) -> None:
         self._append(Left(run.machine_id, run.task_id, run.attempt, cause))
 
     def run_time_learned(self, job: str, observed: int, observed_s: float) -> None:
         self._append(JobLearned(job, observed, round(observed_s, 2)))
 
-    def class_learned(self, job_class: str, factor: float) -> None:
+    def class_correction_learned(self, job_class: str, factor: float) -> None:
         self._append(ClassLearned(job_class, round(factor, 4)))
 
     def machine_granted(self, machine_id: str) -> None:
         self._append(Granted(machine_id))
 
-    def machine_marked(self, machine_id: str, used: bool) -> None:
+    def machine_occupancy_changed(self, machine_id: str, used: bool) -> None:
         self._append(Marked(machine_id, used))
 
     def machine_released(self, machine_id: str) -> None:
         self._append(Released(machine_id))
 
-    def machine_reachable(self, machine_id: str, reachable: bool) -> None:
+    def machine_reachability_changed(self, machine_id: str, reachable: bool) -> None:
         self._append(Reachable(machine_id, reachable))
 
     def image_cached(self, machine_id: str, image: str, size_gb: float) -> None:
         self._append(Cached(machine_id, image, size_gb))
 
 
-class BlockStream:
+class ShardStream:
     """Brings the log of one held block to its followers."""
 
     def __init__(
-        self, held: HeldBlock, label: str, boot: str, followers: Iterable[str], limits: Limits
+        self,
+        shard: Shard,
+        controller_id: str,
+        incarnation: str,
+        followers: Iterable[str],
+        limits: Limits,
     ) -> None:
-        self.held = held
-        self.label = label
-        self.boot = boot
+        self.shard = shard
+        self.controller_id = controller_id
+        self.incarnation = incarnation
         self.limits = limits
         self.log = DecisionLog(limits.log_entries)
         self.positions = {follower: Position() for follower in followers}
-        self.snapshot: Callable[[HeldBlock], list[Snapshot]] = snapshot_parts
+        self.snapshot: Callable[[Shard], list[Snapshot]] = snapshot_parts
         self.sent_bytes = 0  # of payloads, to all followers
-        self._bucket = Bucket(limits.bytes_per_s)
+        self._bucket = TokenBucket(limits.bytes_per_s)
 
     @property
     def token(self) -> int:
         """The stamp at which the block was taken: the same for the whole tenure."""
-        return self.held.taken_stamp
+        return self.shard.acquired_revision
 
     def due(self, now: float) -> list[tuple[str, LogBatch | SnapshotPart]]:
         """What goes out now, by follower, within the bound on bytes a second."""
@@ -165,7 +170,10 @@
 
     def lags(self) -> dict[str, int]:
         """Entries that each follower has not acknowledged; all, where it has no replica."""
-        return {label: self.log.last - max(0, p.last) for label, p in self.positions.items()}
+        return {
+            controller_id: self.log.last - max(0, p.last)
+            for controller_id, p in self.positions.items()
+        }
 
     def _pause_s(self, position: Position) -> float:
         if not position.waiting:
@@ -173,7 +181,7 @@
                 return 0.0
             idle = not position.parts and position.last == self.log.last
             return (IDLE_BATCHES if idle else 1.0) * self.limits.batch_s
-        batches = RESEND_BATCHES if position.answered else SILENT_BATCHES
+        batches = RESEND_BATCHES if position.answered else UNRESPONSIVE_BATCHES
         return batches * self.limits.batch_s
 
     def _behind(self, position: Position) -> bool:
@@ -192,9 +200,9 @@
         payload = pack(entries)
         return LogBatch(
             FORMAT,
-            self.label,
-            self.boot,
-            self.held.label,
+            self.controller_id,
+            self.incarnation,
+            self.shard.shard_id,
             self.token,
             max(position.last, 0) + 1,
             self.log.last,
@@ -210,9 +218,9 @@
         payload = pack(position.parts[position.next_part])
         return SnapshotPart(
             FORMAT,
-            self.label,
-            self.boot,
-            self.held.label,
+            self.controller_id,
+            self.incarnation,
+            self.shard.shard_id,
             self.token,
             position.parts_last,
             position.next_part,
@@ -223,7 +231,7 @@
 
     def acknowledged(self, answer: Acknowledgement) -> None:
         """A follower says where it stands under our token."""
-        position = self.positions.get(answer.label)
+        position = self.positions.get(answer.controller_id)
         if position is None or answer.token != self.token:
             return
         if answer.snapshot_part < 0:
@@ -253,20 +261,20 @@
             position.next_part = next_part
 
     def _begin_snapshot(self, position: Position) -> None:
-        position.parts = self.snapshot(self.held)
+        position.parts = self.snapshot(self.shard)
         position.parts_last = self.log.last
         position.next_part = 0
 
 
-def snapshot_parts(held: HeldBlock) -> list[Snapshot]:
+def snapshot_parts(shard: Shard) -> list[Snapshot]:
     """The state of a held block, in parts that fit a message."""
-    machines = [(machine_id, _copy(machine)) for machine_id, machine in held.machines.items()]
+    machines = [(machine_id, _copy(machine)) for machine_id, machine in shard.machines.items()]
     jobs = [
         (name, JobCopy(job.observed_tasks, round(job.observed_run_s, 2)))
-        for name, job in held.jobs.items()
+        for name, job in shard.jobs.items()
         if job.observed_tasks
     ]
-    parts = [Snapshot({}, {}, dict(held.corrections.factors()))]
+    parts = [Snapshot({}, {}, dict(shard.corrections.factors()))]
     for at in range(0, len(machines), PART_ITEMS):
         parts.append(Snapshot(dict(machines[at : at + PART_ITEMS])))
     for at in range(0, len(jobs), PART_ITEMS):
--- a/fallpulley/standby/takeover.py
+++ b/fallpulley/standby/takeover.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.standby.replica import MachineCopy, Replica
 from fallpulley.workers.machine import Machine
 
@@ -21,25 +21,25 @@
     compared: bool = False  # compared with what the machines reported
 
 
-def seed(held: HeldBlock, replica: Replica) -> Expected:
+def seed(shard: Shard, replica: Replica) -> Expected:
     """Bring a replica's hints into a block that was just taken over."""
     state = replica.state
-    held.corrections.restore(state.factors)
+    shard.corrections.restore(state.factors)
     for name, copy in state.jobs.items():
-        job = held.jobs.get(name)
+        job = shard.jobs.get(name)
         if job is not None and copy.observed_tasks >= 0 and copy.observed_run_s >= 0.0:
             job.observed_tasks, job.observed_run_s = copy.observed_tasks, copy.observed_run_s
     expected = Expected({})
     for machine_id, machine in state.machines.items():
-        ours = held.machines.get(machine_id)
+        ours = shard.machines.get(machine_id)
         if ours is None:
             continue  # it has left the block since, by the record
         ours.images.update(machine.images)
         expected.attempts.update(machine.attempts)
-    held.machines = _in_asking_order(held, state.machines)
+    shard.machines = _in_asking_order(shard, state.machines)
     log.info(
         "takeover with replica block=%s entry=%d machines=%d tasks=%d",
-        held.label,
+        shard.shard_id,
         replica.last,
         len(state.machines),
         len(expected.attempts),
@@ -47,7 +47,7 @@
     return expected
 
 
-def _in_asking_order(held: HeldBlock, copies: dict[str, MachineCopy]) -> dict[str, Machine]:
+def _in_asking_order(shard: Shard, copies: dict[str, MachineCopy]) -> dict[str, Machine]:
     """Machines that reported and hold tasks are asked first, silent ones last: each of those takes
     one of the few places for requests under way until it times out."""
 
@@ -55,17 +55,19 @@
         copy = copies.get(machine_id)
         return (copy is None or not copy.reachable, copy is None or not copy.attempts)
 
-    return {machine_id: held.machines[machine_id] for machine_id in sorted(held.machines, key=rank)}
+    return {
+        machine_id: shard.machines[machine_id] for machine_id in sorted(shard.machines, key=rank)
+    }
 
 
-def compare(held: HeldBlock, expected: Expected) -> None:
+def compare(shard: Shard, expected: Expected) -> None:
     """Once every machine has reported: how far the replica was from what they run."""
     expected.compared = True
-    found = {run.task_id: run.attempt for run in held.runs() if run.attempt < held.first_attempt}
+    found = {run.task_id: run.attempt for run in shard.runs() if run.attempt < shard.first_attempt}
     alike = sum(expected.attempts.get(task_id) == attempt for task_id, attempt in found.items())
     log.info(
         "replica compared block=%s expected=%d found=%d alike=%d",
-        held.label,
+        shard.shard_id,
         len(expected.attempts),
         len(found),
         alike,
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -13,13 +13,15 @@
 
 import msgspec
 
-from fallpulley.effects import ANSWER_TOO_LONG, Call, Done, Effect
+from fallpulley.effects import RESPONSE_TOO_LONG, Effect, HttpCall, ResponseHandler
 
 log = logging.getLogger(__name__)
 
-TXN_BYTES = 60 * 1024  # of the 64 KiB a transaction may take, leaving room for its frame
+MAX_TRANSACTION_BYTES = (
+    60 * 1024
+)  # of the 64 KiB a transaction may take, leaving room for its frame
 # The service counts over all controllers; clocks and delays make shares overlap a little.
-SHARE_USED = 0.92
+BUDGET_SHARE_USED = 0.92
 
 
 class RequestPriority(IntEnum):
@@ -31,10 +33,10 @@
 
 # Share of the saved-up budget that requests of a priority leave to those before them, so that
 # a renewal or an accept never waits for a burst of lesser ones to be earned back.
-KEPT_BACK = {RequestPriority.PROGRESS: 0.4, RequestPriority.READ: 0.2}
+RESERVED_SHARE = {RequestPriority.PROGRESS: 0.4, RequestPriority.READ: 0.2}
 
 # Outcome of a write: 200, 409 (a stamp differed), 503 (not executed), 400, None (unknown).
-Written = Callable[[int | None, int], None]
+WriteCallback = Callable[[int | None, int], None]
 
 
 class Change(msgspec.Struct):
@@ -42,70 +44,70 @@
 
     key: str
     value: bytes | None
-    tenure: int | None = None
+    lease_id: int | None = None
 
-    def wire(self) -> dict[str, object]:
+    def to_wire(self) -> dict[str, object]:
         if self.value is None:
             return {"drop": self.key}
         entry: dict[str, object] = {"set": self.key, "v": msgspec.Raw(self.value)}
-        if self.tenure is not None:
-            entry["tenure"] = self.tenure
+        if self.lease_id is not None:
+            entry["tenure"] = self.lease_id
         return entry
 
 
 class Write(msgspec.Struct):
     conditions: dict[str, int]
     changes: list[Change]
-    written: Written
+    on_result: WriteCallback
     priority: RequestPriority = RequestPriority.ACCEPT
-    alone: bool = False
+    isolated: bool = False
     expires_at: float = float("inf")
 
-    def size(self) -> int:
+    def encoded_size(self) -> int:
         size = sum(len(key) + 40 for key in self.conditions)
         return size + sum(len(c.key) + len(c.value or b"") + 40 for c in self.changes)
 
 
-class _TxnReply(msgspec.Struct):
-    ledger: int = 0
+class _TransactionResponse(msgspec.Struct, rename={"revision": "ledger"}):
+    revision: int = 0
     failed: list[str] = []
 
 
-class _Read(msgspec.Struct):
+class _QueuedRequest(msgspec.Struct):
     method: str
     path: str
     body: bytes | None
     timeout_s: float
-    done: Done
+    on_response: ResponseHandler
     expires_at: float
 
 
-class Bucket:
+class TokenBucket:
     """Tokens for one budget: `rate` a second, saving up at most one second's worth."""
 
     def __init__(self, rate: float) -> None:
         self.equal_rate = rate  # where every controller takes the same
         self.share = 1.0  # of the equal rate
         self.rate = rate
-        self.most = max(rate, 1.0)
-        self.tokens = self.most
-        self.at: float | None = None
+        self.capacity = max(rate, 1.0)
+        self.tokens = self.capacity
+        self.refilled_at: float | None = None
 
-    def lower(self, rate: float) -> None:
+    def lower_rate(self, rate: float) -> None:
         self.equal_rate = min(self.equal_rate, rate)
-        self.take_share(self.share)
+        self.set_share(self.share)
 
-    def take_share(self, share: float) -> None:
+    def set_share(self, share: float) -> None:
         """More or less than the equal rate: the shares of all controllers add up."""
         self.share = share
         self.rate = self.equal_rate * share
-        self.most = max(self.rate, 1.0)
-        self.tokens = min(self.tokens, self.most)
+        self.capacity = max(self.rate, 1.0)
+        self.tokens = min(self.tokens, self.capacity)
 
     def refill(self, now: float) -> None:
-        if self.at is not None:
-            self.tokens = min(self.most, self.tokens + (now - self.at) * self.rate)
-        self.at = now
+        if self.refilled_at is not None:
+            self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
 
 
 def _nobody() -> None:
@@ -123,48 +125,48 @@
     ) -> None:
         self.address = address
         self.txn_ops = txn_ops
-        self.requests = Bucket(rps * SHARE_USED)
-        self.changes = Bucket(write_rps * SHARE_USED)
+        self.request_budget = TokenBucket(rps * BUDGET_SHARE_USED)
+        self.change_budget = TokenBucket(write_rps * BUDGET_SHARE_USED)
         self.emit = emit
         self.in_flight = 0
         self._writes: dict[RequestPriority, deque[Write]] = {
             priority: deque() for priority in RequestPriority
         }
-        self._reads: dict[RequestPriority, deque[_Read]] = {
+        self._reads: dict[RequestPriority, deque[_QueuedRequest]] = {
             priority: deque() for priority in RequestPriority
         }
         self.timeout_s = 1.5
         # Values above this size are refused once the limits to come have come, and who is to know.
-        self.small_bytes = float("inf")
-        self.on_limits: Callable[[], None] = _nobody
+        self.future_value_bytes = float("inf")
+        self.on_future_limits: Callable[[], None] = _nobody
         # Limits to come, by rates of requests and changes: taken once the service shows them.
-        self._to_come: tuple[float, float] | None = None
+        self._future_rates: tuple[float, float] | None = None
 
-    def expect_limits(self, rps: float, write_rps: float) -> None:
+    def expect_lower_rates(self, rps: float, write_rps: float) -> None:
         """From now on a 429 may mean that these hold."""
-        self._to_come = (rps * SHARE_USED, write_rps * SHARE_USED)
+        self._future_rates = (rps * BUDGET_SHARE_USED, write_rps * BUDGET_SHARE_USED)
 
-    def _too_many(self) -> None:
+    def _on_rate_limited(self) -> None:
         """The service refused for its rate: others used more than their shares, or the limits to
         come have come."""
-        if self._to_come is not None:
-            rps, write_rps = self._to_come
-            if write_rps < self.changes.equal_rate or rps < self.requests.equal_rate:
+        if self._future_rates is not None:
+            rps, write_rps = self._future_rates
+            if write_rps < self.change_budget.equal_rate or rps < self.request_budget.equal_rate:
                 log.info("state limits have come rps=%.1f write_rps=%.1f", rps, write_rps)
-            self.requests.lower(rps)
-            self.changes.lower(write_rps)
-        self.changes.tokens = min(self.changes.tokens, 0.0)
+            self.request_budget.lower_rate(rps)
+            self.change_budget.lower_rate(write_rps)
+        self.change_budget.tokens = min(self.change_budget.tokens, 0.0)
 
     def write(self, write: Write) -> None:
         self._writes[write.priority].append(write)
 
-    def waiting_changes(self, priority: RequestPriority) -> int:
+    def queued_changes(self, priority: RequestPriority) -> int:
         return sum(len(write.changes) for write in self._writes[priority])
 
-    def read(
+    def request(
         self,
         path: str,
-        done: Done,
+        on_response: ResponseHandler,
         priority: RequestPriority = RequestPriority.READ,
         method: str = "GET",
         body: bytes | None = None,
@@ -172,36 +174,45 @@
         expires_at: float = float("inf"),
     ) -> None:
         """Any request that is not a transaction."""
-        entry = _Read(method, path, body, timeout_s or self.timeout_s, done, expires_at)
+        entry = _QueuedRequest(
+            method, path, body, timeout_s or self.timeout_s, on_response, expires_at
+        )
         self._reads[priority].append(entry)
 
-    def pump(self, now: float) -> None:
+    def send_queued(self, now: float) -> None:
         """Send what the budgets allow, most urgent first."""
-        self.requests.refill(now)
-        self.changes.refill(now)
+        self.request_budget.refill(now)
+        self.change_budget.refill(now)
         for priority in RequestPriority:
             reads = self._reads[priority]
             writes = self._writes[priority]
             while reads and reads[0].expires_at < now:
-                reads.popleft().done(503, b"", now)
+                reads.popleft().on_response(503, b"", now)
             while writes and writes[0].expires_at < now:
-                writes.popleft().written(503, 0)
-            keep = KEPT_BACK.get(priority, 0.0)
-            least = max(1.0, keep * self.requests.most)
-            while reads and self.requests.tokens >= least:
-                self.requests.tokens -= 1
+                writes.popleft().on_result(503, 0)
+            keep = RESERVED_SHARE.get(priority, 0.0)
+            least = max(1.0, keep * self.request_budget.capacity)
+            while reads and self.request_budget.tokens >= least:
+                self.request_budget.tokens -= 1
                 read = reads.popleft()
                 self.emit(
-                    Call(self.address, read.method, read.path, read.body, read.timeout_s, read.done)
+                    HttpCall(
+                        self.address,
+                        read.method,
+                        read.path,
+                        read.body,
+                        read.timeout_s,
+                        read.on_response,
+                    )
                 )
-            while writes and self.requests.tokens >= least:
-                group = self._group(writes, keep * self.changes.most)
+            while writes and self.request_budget.tokens >= least:
+                group = self._next_group(writes, keep * self.change_budget.capacity)
                 if not group:
                     break
-                self.requests.tokens -= 1
-                self._send(group)
+                self.request_budget.tokens -= 1
+                self._send_transaction(group)
 
-    def _group(self, writes: deque[Write], keep: float) -> list[Write]:
+    def _next_group(self, writes: deque[Write], keep: float) -> list[Write]:
         """Take the writes that fit one transaction and the change budget."""
         group: list[Write] = []
         ops = conditions = size = 0
@@ -211,50 +222,52 @@
             count = len(write.changes)
             touched = set(write.conditions) | {c.key for c in write.changes}
             if group and (
-                write.alone
+                write.isolated
                 or ops + count > self.txn_ops
                 or conditions + len(write.conditions) > 4 * self.txn_ops
-                or size + write.size() > TXN_BYTES
+                or size + write.encoded_size() > MAX_TRANSACTION_BYTES
                 or touched & keys
             ):
                 break
             # A write larger than the saved-up budget goes when the bucket is full.
-            if self.changes.tokens - keep < min(count, self.changes.most * 0.5):
+            if self.change_budget.tokens - keep < min(count, self.change_budget.capacity * 0.5):
                 break
-            self.changes.tokens -= count
+            self.change_budget.tokens -= count
             group.append(writes.popleft())
             ops += count
             conditions += len(write.conditions)
-            size += write.size()
+            size += write.encoded_size()
             keys |= touched
-            if write.alone:
+            if write.isolated:
                 break
         return group
 
-    def _send(self, group: list[Write]) -> None:
+    def _send_transaction(self, group: list[Write]) -> None:
         body = msgspec.json.encode(
             {
                 "if": [
-                    {"k": key, "stamp": stamp}
+                    {"k": key, "stamp": mod_revision}
                     for write in group
-                    for key, stamp in write.conditions.items()
+                    for key, mod_revision in write.conditions.items()
                 ],
-                "then": [change.wire() for write in group for change in write.changes],
+                "then": [change.to_wire() for write in group for change in write.changes],
             }
         )
 
-        def done(status: int | None, answer: bytes, sent_at: float) -> None:
-            self._settle(group, status, answer)
+        def on_response(status: int | None, answer: bytes, sent_at: float) -> None:
+            self._on_transaction_response(group, status, answer)
 
-        self.emit(Call(self.address, "POST", "/txn", body, self.timeout_s, done))
+        self.emit(HttpCall(self.address, "POST", "/txn", body, self.timeout_s, on_response))
 
-    def _settle(self, group: list[Write], status: int | None, answer: bytes) -> None:
-        reply = _TxnReply()
-        if status == ANSWER_TOO_LONG:
+    def _on_transaction_response(
+        self, group: list[Write], status: int | None, answer: bytes
+    ) -> None:
+        reply = _TransactionResponse()
+        if status == RESPONSE_TOO_LONG:
             status = None
         if status in (200, 409):
             try:
-                reply = msgspec.json.decode(answer, type=_TxnReply)
+                reply = msgspec.json.decode(answer, type=_TransactionResponse)
             except msgspec.MsgspecError:
                 status = None
         if status == 409 and len(group) > 1:
@@ -264,23 +277,23 @@
                 self._writes[write.priority].appendleft(write)
             for write in group:
                 if failed & set(write.conditions):
-                    write.written(409, 0)
+                    write.on_result(409, 0)
             return
         if status == 429:
             # Not carried out: again, in its place, once the budget allows.
-            self._too_many()
+            self._on_rate_limited()
             for write in reversed(group):
                 self._writes[write.priority].appendleft(write)
             return
         values = (change.value or b"" for write in group for change in write.changes)
-        if status == 400 and any(len(value) > self.small_bytes for value in values):
-            self.on_limits()
+        if status == 400 and any(len(value) > self.future_value_bytes for value in values):
+            self.on_future_limits()
         if status == 400 and len(group) > 1:
             for write in reversed(group):
-                write.alone = True
+                write.isolated = True
                 self._writes[write.priority].appendleft(write)
             return
         if status not in (200, 409, 400, None):
             status = 503
         for write in group:
-            write.written(status, reply.ledger)
+            write.on_result(status, reply.revision)
--- a/fallpulley/state/view.py
+++ b/fallpulley/state/view.py
@@ -12,181 +12,193 @@
 
 import msgspec
 
-from fallpulley.effects import ANSWER_TOO_LONG
+from fallpulley.effects import RESPONSE_TOO_LONG
 from fallpulley.state.client import RequestPriority, StateClient
 
 log = logging.getLogger(__name__)
 
-ROOT = "live/"
-PAGE = 400  # keys asked for at once: a few hundred KiB at the most, parsed in one go
-ROUND_S = 1.2  # a round that takes longer counts as failed: users wait 2 s for an answer
+ROOT_PREFIX = "live/"
+PAGE_SIZE = 400  # keys asked for at once: a few hundred KiB at the most, parsed in one go
+ROUND_TIMEOUT_SECONDS = (
+    1.2  # a round that takes longer counts as failed: users wait 2 s for an answer
+)
 
 
-class _Pair(msgspec.Struct):
-    k: str
-    v: msgspec.Raw
-    stamp: int
+class _Item(msgspec.Struct, rename={"key": "k", "value": "v", "mod_revision": "stamp"}):
+    key: str
+    value: msgspec.Raw
+    mod_revision: int
 
 
-class _Page(msgspec.Struct):
-    pairs: list[_Pair]
+class _Page(msgspec.Struct, rename={"items": "pairs", "revision": "ledger"}):
+    items: list[_Item]
     has_next: bool
-    ledger: int
+    revision: int
 
 
-class _Event(msgspec.Struct):
-    stamp: int
+class _Event(msgspec.Struct, rename={"mod_revision": "stamp", "delete": "drop", "value": "v"}):
+    mod_revision: int
     set: str | None = None
-    drop: str | None = None
-    v: msgspec.Raw = msgspec.Raw(b"null")
+    delete: str | None = None
+    value: msgspec.Raw = msgspec.Raw(b"null")
 
 
-class _Changes(msgspec.Struct):
-    ledger: int
-    news: list[_Event] = []
+class _Changes(msgspec.Struct, rename={"revision": "ledger", "events": "news"}):
+    revision: int
+    events: list[_Event] = []
 
 
 T = TypeVar("T")
 
 Waiter = Callable[[bool], None]
-OnKey = Callable[[str, bytes | None, int], None]
+KeyChangedHandler = Callable[[str, bytes | None, int], None]
 
 
-class View:
-    def __init__(self, state: StateClient, on_key: OnKey, hold_s: float, spacing_s: float) -> None:
-        self.state = state
+class WatchCache:
+    def __init__(
+        self, client: StateClient, on_key: KeyChangedHandler, wait_s: float, min_interval_s: float
+    ) -> None:
+        self.client = client
         self.on_key = on_key
-        self.hold_s = hold_s
-        self.spacing_s = spacing_s
-        self.stamps: dict[str, int] = {}
-        self.ledger = 0
+        self.wait_s = wait_s
+        self.min_interval_s = min_interval_s
+        self.mod_revisions: dict[str, int] = {}
+        self.revision = 0
         self.loaded = False
         self.ready = False
         self.fresh_at = float("-inf")  # when the last successful look was sent
         self._loading = False
         self._load_keys: set[str] = set()
-        self._load_ledger = 0
-        self._polling = False
-        self._next_poll = float("-inf")
+        self._load_revision = 0
+        self._watching = False
+        self._next_watch_at = float("-inf")
         self._waiters: list[tuple[Waiter, float]] = []
-        self._round_busy = False
+        self._round_in_flight = False
 
-    def stamp(self, key: str) -> int:
+    def mod_revision(self, key: str) -> int:
         """The key's stamp as a condition: 0 where it does not exist."""
-        return max(0, self.stamps.get(key, 0))
+        return max(0, self.mod_revisions.get(key, 0))
 
     def tick(self, now: float) -> None:
         if not self.loaded and not self._loading:
-            if now >= self._next_poll:
-                self._load(now, "")
-            self._fail_waiters(now)
+            if now >= self._next_watch_at:
+                self._load_page(now, "")
+            self._expire_waiters(now)
             return
         if self._loading:
-            self._fail_waiters(now)
+            self._expire_waiters(now)
             return
-        if self._waiters and not self._round_busy:
-            self._round(now)
-        if not self._polling and now >= self._next_poll:
-            self._poll(now)
+        if self._waiters and not self._round_in_flight:
+            self._start_round(now)
+        if not self._watching and now >= self._next_watch_at:
+            self._start_watch(now)
 
     def when_current(self, waiter: Waiter, now: float) -> None:
         """Call `waiter` after a round begun from now on, with whether it succeeded."""
-        self._waiters.append((waiter, now + ROUND_S))
+        self._waiters.append((waiter, now + ROUND_TIMEOUT_SECONDS))
 
     # -- loading by pages ------------------------------------------------------------------
 
-    def _load(self, now: float, after: str) -> None:
+    def _load_page(self, now: float, after: str) -> None:
         self._loading = True
-        path = f"/store?under={ROOT}&page={PAGE}" + (f"&after={after}" if after else "")
+        path = f"/store?under={ROOT_PREFIX}&page={PAGE_SIZE}" + (f"&after={after}" if after else "")
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
             page = _decode(body, _Page) if status == 200 else None
             if page is None:
                 self._loading = False
                 self._load_keys = set()
-                self._next_poll = now + 0.5
+                self._next_watch_at = now + 0.5
                 return
             if not after:
                 self._load_keys = set()
-                self._load_ledger = page.ledger
-            for pair in page.pairs:
-                self._load_keys.add(pair.k)
-                self._apply(pair.k, bytes(pair.v), pair.stamp)
-            if page.has_next and page.pairs:
-                self._load(now, page.pairs[-1].k)
+                self._load_revision = page.revision
+            for item in page.items:
+                self._load_keys.add(item.key)
+                self._apply(item.key, bytes(item.value), item.mod_revision)
+            if page.has_next and page.items:
+                self._load_page(now, page.items[-1].key)
                 return
-            for key, stamp in list(self.stamps.items()):
-                if stamp > 0 and key not in self._load_keys and stamp <= self._load_ledger:
-                    self._apply(key, None, self._load_ledger)
-            self.ledger = self._load_ledger
+            for key, mod_revision in list(self.mod_revisions.items()):
+                if (
+                    mod_revision > 0
+                    and key not in self._load_keys
+                    and mod_revision <= self._load_revision
+                ):
+                    self._apply(key, None, self._load_revision)
+            self.revision = self._load_revision
             self.loaded = True
             self._loading = False
-            self._next_poll = float("-inf")
+            self._next_watch_at = float("-inf")
 
-        self.state.read(path, done, RequestPriority.READ, timeout_s=5.0)
+        self.client.request(path, on_response, RequestPriority.READ, timeout_s=5.0)
 
     # -- watching --------------------------------------------------------------------------
 
-    def _poll(self, now: float) -> None:
-        self._polling = True
+    def _start_watch(self, now: float) -> None:
+        self._watching = True
         # The first look after a load waits for nothing: only then is the copy complete.
-        hold = self.hold_s if self.ready else 0.0
-        path = f"/changes?under={ROOT}&after={self.ledger}&hold_ms={int(hold * 1000)}"
+        wait_s = self.wait_s if self.ready else 0.0
+        path = f"/changes?under={ROOT_PREFIX}&after={self.revision}&hold_ms={int(wait_s * 1000)}"
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
-            self._polling = False
-            ok = self._take(status, body, sent_at)
-            self._next_poll = max(now, sent_at) + (self.spacing_s if ok else 0.4)
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+            self._watching = False
+            ok = self._handle_changes(status, body, sent_at)
+            self._next_watch_at = max(now, sent_at) + (self.min_interval_s if ok else 0.4)
 
-        self.state.read(path, done, RequestPriority.READ, timeout_s=hold + 1.5)
+        self.client.request(path, on_response, RequestPriority.READ, timeout_s=wait_s + 1.5)
 
-    def _round(self, now: float) -> None:
+    def _start_round(self, now: float) -> None:
         waiters, self._waiters = self._waiters, []
-        self._round_busy = True
-        path = f"/changes?under={ROOT}&after={self.ledger}&hold_ms=0"
+        self._round_in_flight = True
+        path = f"/changes?under={ROOT_PREFIX}&after={self.revision}&hold_ms=0"
 
-        def done(status: int | None, body: bytes, sent_at: float) -> None:
-            self._round_busy = False
-            ok = self._take(status, body, sent_at)
+        def on_response(status: int | None, body: bytes, sent_at: float) -> None:
+            self._round_in_flight = False
+            ok = self._handle_changes(status, body, sent_at)
             for waiter, _ in waiters:
                 waiter(ok)
 
-        self.state.read(
-            path, done, RequestPriority.READ, timeout_s=ROUND_S, expires_at=now + ROUND_S
+        self.client.request(
+            path,
+            on_response,
+            RequestPriority.READ,
+            timeout_s=ROUND_TIMEOUT_SECONDS,
+            expires_at=now + ROUND_TIMEOUT_SECONDS,
         )
 
-    def _take(self, status: int | None, body: bytes, sent_at: float) -> bool:
-        if status in (410, ANSWER_TOO_LONG):
+    def _handle_changes(self, status: int | None, body: bytes, sent_at: float) -> bool:
+        if status in (410, RESPONSE_TOO_LONG):
             # Read again by pages: asked once more, the changes of a long gap are only more.
-            log.info("changes are read anew after=%d status=%d", self.ledger, status)
+            log.info("changes are read anew after=%d status=%d", self.revision, status)
             self.loaded = self.ready = False
             return False
         changes = _decode(body, _Changes) if status == 200 else None
         if changes is None or not self.loaded:
             return False
-        for event in changes.news:
+        for event in changes.events:
             if event.set is not None:
-                self._apply(event.set, bytes(event.v), event.stamp)
-            elif event.drop is not None:
-                self._apply(event.drop, None, event.stamp)
-        self.ledger = max(self.ledger, changes.ledger)
+                self._apply(event.set, bytes(event.value), event.mod_revision)
+            elif event.delete is not None:
+                self._apply(event.delete, None, event.mod_revision)
+        self.revision = max(self.revision, changes.revision)
         self.fresh_at = max(self.fresh_at, sent_at)
         self.ready = True
         return True
 
-    def _apply(self, key: str, value: bytes | None, stamp: int) -> None:
+    def _apply(self, key: str, value: bytes | None, mod_revision: int) -> None:
         # A dropped key keeps the drop's revision as a negative stamp, so that an answer
         # that was overtaken on its way cannot bring the key back.
-        if stamp <= abs(self.stamps.get(key, 0)):
+        if mod_revision <= abs(self.mod_revisions.get(key, 0)):
             return
-        self.stamps[key] = stamp if value is not None else -stamp
+        self.mod_revisions[key] = mod_revision if value is not None else -mod_revision
         try:
-            self.on_key(key, value, stamp)
+            self.on_key(key, value, mod_revision)
         except Exception:
             # One record must not keep all later ones from being seen, and every job unknown.
             log.exception("record failed key=%s", key)
 
-    def _fail_waiters(self, now: float) -> None:
+    def _expire_waiters(self, now: float) -> None:
         if self._waiters and self._waiters[0][1] <= now:
             late = [waiter for waiter, until in self._waiters if until <= now]
             self._waiters = [entry for entry in self._waiters if entry[1] > now]
--- a/fallpulley/wire/client.py
+++ b/fallpulley/wire/client.py
@@ -17,7 +17,7 @@
 import anyio.abc
 import h11
 
-from fallpulley.effects import ANSWER_TOO_LONG
+from fallpulley.effects import RESPONSE_TOO_LONG
 from fallpulley.settings import split_address
 
 log = logging.getLogger(__name__)
@@ -134,7 +134,7 @@
             elif type(event) is h11.Data:
                 self._size += len(event.data)
                 if self._size > self.client.answer_most:
-                    self._end(ANSWER_TOO_LONG)
+                    self._end(RESPONSE_TOO_LONG)
                     self.abort()
                     return
                 self._chunks.append(bytes(event.data))
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -56,7 +56,7 @@
     return h11.Response(status_code=status, headers=headers)
 
 
-class Ticket:
+class PendingResponse:
     """Where the owner's answer to one request arrives."""
 
     __slots__ = ("connection",)
@@ -81,7 +81,7 @@
         self.counted = False  # the limit counts the request in progress
         self.user = False  # its last request was a user's
         self.machine = False  # its last request was a machine's report
-        self.ticket: Ticket | None = None
+        self.ticket: PendingResponse | None = None
         self._request: h11.Request | None = None
         self._chunks: list[bytes] = []
         self._size = 0
@@ -167,7 +167,7 @@
         path = request.target.decode("ascii", "replace")
         self._began = time.monotonic()
         self.due_at = self._began + ANSWER_S
-        self.ticket = ticket = Ticket(self)
+        self.ticket = ticket = PendingResponse(self)
         limit = self.server.limit
         self.user = path.startswith("/work")
         self.machine = path == "/checkin"
@@ -183,7 +183,9 @@
             self.counted = False
             self.server.limit.leave(time.monotonic() - self._began)
 
-    def answer(self, ticket: Ticket, status: int, body: bytes, retry_after: float | None) -> None:
+    def answer(
+        self, ticket: PendingResponse, status: int, body: bytes, retry_after: float | None
+    ) -> None:
         if self.ticket is not ticket or self.transport is None:
             return
         self.ticket = None
--- a/fallpulley/workers/checkins.py
+++ b/fallpulley/workers/checkins.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from fallpulley.blocks.held import HeldBlock
+from fallpulley.blocks.held import Shard
 from fallpulley.blocks.leadership import Leadership
 from fallpulley.blocks.registry import Registry
-from fallpulley.blocks.writer import BlockWriter
-from fallpulley.core import Core
+from fallpulley.blocks.writer import ShardWriter
+from fallpulley.core import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.state.view import View
+from fallpulley.state.view import WatchCache
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import (
     Heartbeat,
@@ -40,7 +40,7 @@
     """A check-in of a machine of ours, to be answered after the next plan."""
 
     pending_response: Any
-    shard: HeldBlock
+    shard: Shard
     machine: Machine
     newer: bool  # its report was newer than what we knew
     deadline_at: float
@@ -59,22 +59,22 @@
 
     def __init__(
         self,
-        core: Core,
-        view: View,
+        context: ControllerContext,
+        watch: WatchCache,
         registry: Registry,
         leadership: Leadership,
-        writer: BlockWriter,
+        writer: ShardWriter,
         provider: MachineProvider,
-        held: dict[str, HeldBlock],
+        shard: dict[str, Shard],
         serving: Callable[[], bool],
     ) -> None:
-        self.core = core
-        self.view = view
+        self.context = context
+        self.watch = watch
         self.registry = registry
         self.leadership = leadership
         self.writer = writer
         self.provider = provider
-        self.shards = held
+        self.shards = shard
         self.is_serving = serving
         self.deferred: list[DeferredHeartbeat] = []  # in the order in which they came
         self._arrived: list[DeferredHeartbeat] = []  # since the last answers
@@ -84,56 +84,56 @@
         """`POST /checkin`."""
         heartbeat = parse_heartbeat(body)
         if heartbeat is None:
-            self.core.answer(pending_response, 400, b'{"error":"malformed"}')
+            self.context.respond(pending_response, 400, b'{"error":"malformed"}')
             return
-        self._route(pending_response, heartbeat, self.core.now + PARK_SECONDS)
+        self._route(pending_response, heartbeat, self.context.now + PARK_SECONDS)
 
     def _respond_unavailable(self, pending_response: Any) -> None:
         """The machine tries the next controller."""
-        self.core.answer(pending_response, 503, b"", RETRY_AFTER_SECONDS)
+        self.context.respond(pending_response, 503, b"", RETRY_AFTER_SECONDS)
 
     def _route(self, pending_response: Any, heartbeat: Heartbeat, deadline_at: float) -> None:
-        if not self.view.loaded or not self.is_serving():
+        if not self.watch.loaded or not self.is_serving():
             self._respond_unavailable(pending_response)
             return
         label = self.registry.shard_of_machine.get(heartbeat.machine_id)
         if label is None:
             self._handle_unknown_machine(pending_response, heartbeat, deadline_at)
             return
-        held = self.shards.get(label)
-        if held is None:
-            self._redirect(pending_response, self.registry.holder_of(label))
+        shard = self.shards.get(label)
+        if shard is None:
+            self._redirect(pending_response, self.registry.owner_of(label))
             return
-        machine = held.machines.get(heartbeat.machine_id)
+        machine = shard.machines.get(heartbeat.machine_id)
         if (
             machine is None
-            or heartbeat.fencing_token > held.token
+            or heartbeat.fencing_token > shard.fencing_token
             or machine.is_stale_copy(heartbeat)
         ):
             # Somebody with a higher token has spoken to it: our copy is behind. Or it is a late
             # copy of a report: an answer must not count as one that its lease goes on with.
             self._respond_unavailable(pending_response)
             return
-        self._defer(pending_response, heartbeat, held, machine)
+        self._defer(pending_response, heartbeat, shard, machine)
 
     def _defer(
-        self, pending_response: Any, heartbeat: Heartbeat, held: HeldBlock, machine: Machine
+        self, pending_response: Any, heartbeat: Heartbeat, shard: Shard, machine: Machine
     ) -> None:
         if heartbeat.fencing_token > machine.fencing_token:
             # Away and back between two looks of ours: to us it is a machine just granted.
-            machine.fencing_token = held.token
+            machine.fencing_token = shard.fencing_token
             machine.fenced = False
-        newer = held.intake.handle(machine, heartbeat, is_heartbeat=True)
+        newer = shard.intake.handle(machine, heartbeat, is_heartbeat=True)
         if heartbeat.address:
             self.writer.addresses[heartbeat.machine_id] = heartbeat.address
-        until = self.core.now + DEFER_INTERVALS * self.core.report_s
-        self._arrived.append(DeferredHeartbeat(pending_response, held, machine, newer, until))
+        until = self.context.now + DEFER_INTERVALS * self.context.report_s
+        self._arrived.append(DeferredHeartbeat(pending_response, shard, machine, newer, until))
 
-    def _redirect(self, pending_response: Any, holder: str | None) -> None:
-        if holder is None or holder == self.core.label:
+    def _redirect(self, pending_response: Any, owner: str | None) -> None:
+        if owner is None or owner == self.context.controller_id:
             self._respond_unavailable(pending_response)
             return
-        self.core.answer(pending_response, 421, msgspec.json.encode(Redirect(holder)))
+        self.context.respond(pending_response, 421, msgspec.json.encode(Redirect(owner)))
 
     def _handle_unknown_machine(
         self, pending_response: Any, heartbeat: Heartbeat, deadline_at: float
@@ -141,9 +141,9 @@
         """Only the leader grants machines to blocks."""
         leader = self.registry.leader
         if self.leadership.term is None:
-            self._redirect(pending_response, leader[0].label if leader else None)
+            self._redirect(pending_response, leader[0].controller_id if leader else None)
             return
-        coming = self.writer.coming(heartbeat.machine_id)
+        coming = self.writer.is_being_added(heartbeat.machine_id)
         if not coming and heartbeat.machine_id in self.provider.listed_machines:
             # Only with the cloud's word: the report may be a late copy of a machine long gone.
             coming = self.provider.adopt(
@@ -153,7 +153,7 @@
                 heartbeat.zone,
                 heartbeat.spot,
             )
-        if coming and self.core.now < deadline_at:
+        if coming and self.context.now < deadline_at:
             self._parked.append(ParkedHeartbeat(pending_response, heartbeat, deadline_at))
             return
         self._respond_unavailable(pending_response)
@@ -163,7 +163,7 @@
         parked, self._parked = self._parked, []
         for deferred in parked:
             known = deferred.heartbeat.machine_id in self.registry.shard_of_machine
-            if known or self.core.now >= deferred.deadline_at:
+            if known or self.context.now >= deferred.deadline_at:
                 self._route(deferred.pending_response, deferred.heartbeat, deferred.deadline_at)
             else:
                 self._parked.append(deferred)
@@ -177,7 +177,7 @@
         time is over: they came in that order.
         """
         if not look_again:
-            now = self.core.now
+            now = self.context.now
             overdue = next((n for n, c in enumerate(self.deferred) if c.deadline_at > now), None)
             self._respond_to(self.deferred[:overdue])
             self.deferred = [] if overdue is None else self.deferred[overdue:]
@@ -201,18 +201,18 @@
     def _must_wait(self, deferred: DeferredHeartbeat) -> bool:
         machine = deferred.machine
         unplanned = (
-            deferred.shard.dirty or not machine.marked_occupied
+            deferred.shard.needs_replan or not machine.marked_occupied
         )  # the next plan, or its mark
-        in_time = self.core.now < deferred.deadline_at
+        in_time = self.context.now < deferred.deadline_at
         return unplanned and in_time and machine.usable and not machine.full
 
     def _may_respond(self, deferred: DeferredHeartbeat) -> bool:
-        held, machine = deferred.shard, deferred.machine
-        if self.shards.get(held.label) is not held or machine.machine_id not in held.machines:
+        shard, machine = deferred.shard, deferred.machine
+        if self.shards.get(shard.shard_id) is not shard or machine.machine_id not in shard.machines:
             return False
         if not self.is_serving():
             return False  # looked at again: one that waited may have outlived the window
-        if machine.machine_id not in held.unconfirmed or machine.fenced:
+        if machine.machine_id not in shard.unreconciled or machine.fenced:
             return True
         # It may hold tasks and has not shown that it hears us. An answer may renew its lease, so
         # it gets a few only: a machine that hears nothing would put off the proof that it is
@@ -223,25 +223,27 @@
         return True
 
     def _respond(self, deferred: DeferredHeartbeat) -> None:
-        held, machine = deferred.shard, deferred.machine
+        shard, machine = deferred.shard, deferred.machine
         commands: list[TaskCommand] = []
         if machine.fenced:
             # Also when an answer of `/do` has overtaken the report: the reply renews the
             # lease, so it carries what is to stop.
-            commands = held.commands.pending_commands(machine)
+            commands = shard.commands.pending_commands(machine)
             # The mark by the newest copy of the record, not by the last look over all marks.
-            used = machine.marked_occupied and self.writer.used(held.label, machine.machine_id)
-            if deferred.newer and machine.usable and used and self.view.ready:
-                commands += self._start_commands(held, machine)
-        machine.last_response_at = self.core.now
+            used = machine.marked_occupied and self.writer.is_occupied(
+                shard.shard_id, machine.machine_id
+            )
+            if deferred.newer and machine.usable and used and self.watch.ready:
+                commands += self._start_commands(shard, machine)
+        machine.last_response_at = self.context.now
         body = msgspec.json.encode(HeartbeatResponse(machine.fencing_token, commands))
-        self.core.answer(deferred.pending_response, 200, body)
+        self.context.respond(deferred.pending_response, 200, body)
 
-    def _start_commands(self, held: HeldBlock, machine: Machine) -> list[TaskCommand]:
+    def _start_commands(self, shard: Shard, machine: Machine) -> list[TaskCommand]:
         """The tasks booked on the machine from now on."""
         commands = []
-        for booking in held.booked.pop(machine.machine_id, ()):
-            job = held.jobs.get(booking.job_id)
+        for booking in shard.bookings.pop(machine.machine_id, ()):
+            job = shard.jobs.get(booking.job_id)
             if (
                 job is None
                 or job.cancelled
@@ -249,19 +251,19 @@
                 or job.is_completed(booking.task_index)
             ):
                 continue
-            command = held.commands.start(machine, job, booking, held.estimate(job))
+            command = shard.commands.start(machine, job, booking, shard.estimate_run_s(job))
             if command is None:
                 break
             commands.append(command)
-            self._record_image(held, machine, job.spec.image, job.spec.image_gb)
+            self._record_image(shard, machine, job.spec.image, job.spec.image_gb)
         return commands
 
-    def _record_image(self, held: HeldBlock, machine: Machine, image: str, size_gb: float) -> None:
+    def _record_image(self, shard: Shard, machine: Machine, image: str, size_gb: float) -> None:
         machine_type = self.registry.machine_types.get(machine.entry.machine_type)
         if machine_type is None:
             return
         if image not in machine.images:
-            begin = max([self.core.now, *machine.fetching.values()])
+            begin = max([self.context.now, *machine.fetching.values()])
             machine.fetching[image] = begin + size_gb / max(machine_type.fetch_gb_per_s, 1e-3)
-            held.decisions.image_cached(machine.machine_id, image, size_gb)
+            shard.decisions.image_cached(machine.machine_id, image, size_gb)
         machine.cache_image(image, size_gb, machine_type.cache_gb)
