--- a/fallpulley/controller/cancellations.py
+++ b/fallpulley/controller/cancellations.py
@@ -29,7 +29,7 @@
     def announce(self) -> None:
         """Pass on what has been cancelled durably since the last call."""
         by_owner: dict[str, list[str]] = {}
-        for job_id in self.jobs.take_newly_cancelled():
+        for job_id in self.jobs.drain_newly_cancelled():
             owner = self._owner_of(job_id)
             if owner == self.context.controller_id:
                 self.job_sync.stop_cancelled([job_id])
--- a/fallpulley/controller/job_sync.py
+++ b/fallpulley/controller/job_sync.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Iterable
 
+from fallpulley.jobs.job_index import JobEntry
 from fallpulley.jobs.messages import JobState
-from fallpulley.jobs.service import JobEntry, JobService
+from fallpulley.jobs.service import JobService
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.shards.shard import Shard
@@ -24,7 +25,7 @@
         """A job's record has changed, and with it perhaps what holds for jobs that need it."""
         if self.jobs.on_record(job_id, value, mod_revision) is None:
             return
-        for affected in {job_id} | self.jobs.take_affected_jobs():
+        for affected in {job_id} | self.jobs.drain_affected_jobs():
             self.sync(affected)
 
     def sync(self, job_id: str) -> None:
--- a/fallpulley/controller/record_dispatch.py
+++ b/fallpulley/controller/record_dispatch.py
@@ -6,7 +6,7 @@
 from fallpulley.controller.job_sync import JobSync
 from fallpulley.controller.shard_lifecycle import ShardLifecycle
 from fallpulley.extensions import Extensions
-from fallpulley.jobs.service import JOB_PREFIX
+from fallpulley.jobs.job_index import JOB_PREFIX
 from fallpulley.records.registry import FORMAT_KEY, SESSION_PREFIX, Registry
 
 
--- /dev/null
+++ b/fallpulley/jobs/admission.py
@@ -0,0 +1,233 @@
+"""Users' submissions: idempotent, so that a repeat gets the state of the job accepted before."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Mapping
+from http import HTTPStatus
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.effects import PendingResponse
+from fallpulley.jobs.job_index import JOB_PREFIX, JobIndex
+from fallpulley.jobs.messages import (
+    JobRecord,
+    JobState,
+    JobStatus,
+    Submission,
+    SubmissionError,
+    job_id_of,
+    parse_submission,
+)
+from fallpulley.jobs.queries import JobQueries
+from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
+from fallpulley.jobs.shard_choice import ShardChooser
+from fallpulley.jobs.validation import why_never_runs
+from fallpulley.records.registry import TEAM_PREFIX, Registry
+from fallpulley.records.shard_record import TeamShard
+from fallpulley.settings import Team
+from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+from fallpulley.state.watch_cache import WatchCache
+
+log = logging.getLogger(__name__)
+
+# A write that has not gone out by then is refused: its user would ask again anyway.
+MAX_WRITE_WAIT_SECONDS = 2.0
+
+
+class JobAdmission:
+    """Handles `POST /work`: validates a submission, chooses its shard, writes its record."""
+
+    def __init__(
+        self,
+        context: ControllerContext,
+        watch: WatchCache,
+        registry: Registry,
+        index: JobIndex,
+        teams: Mapping[str, Team],
+        shard_chooser: ShardChooser,
+        queries: JobQueries,
+        responder: JobResponder,
+    ) -> None:
+        self.context = context
+        self.watch = watch
+        self.registry = registry
+        self.index = index
+        self.teams = teams
+        self.shard_chooser = shard_chooser
+        self.queries = queries
+        self.responder = responder
+
+    def submit(self, pending_response: PendingResponse, body: bytes) -> None:
+        """Accept a submission, or respond with the state of the job if it was accepted before."""
+        try:
+            spec = parse_submission(body)
+        except SubmissionError as error:
+            log.info("submission malformed reason=%s", error)
+            self._reject_malformed(pending_response, job_id_of(body), str(error))
+            return
+        if spec.job_id in self.index.entries:
+            self.queries.query(pending_response, spec.job_id)
+            return
+        if not self.registry.machine_types or not self.watch.ready:
+            self.responder.send_unavailable(pending_response, "machine types not known yet")
+            return
+        team, machine_types = self.teams.get(spec.team), self.registry.machine_types.values()
+        reason = why_never_runs(spec, team, machine_types)
+        if reason is not None:
+            self._reject_unless_accepted(
+                pending_response, spec.job_id, HTTPStatus.UNPROCESSABLE_ENTITY, reason
+            )
+            return
+        if spec.depends_on and not self.context.record_format.compact:
+            # An older controller would start it at once.
+            self.responder.send_unavailable(
+                pending_response, "not every controller knows pipelines yet"
+            )
+            return
+        self._accept_with_dependencies(pending_response, spec)
+
+    # -- rejections ------------------------------------------------------------------------
+
+    def _reject_malformed(
+        self, pending_response: PendingResponse, job_id: str | None, reason: str
+    ) -> None:
+        if job_id is None:
+            self.responder.send_error(pending_response, HTTPStatus.BAD_REQUEST, reason)
+        elif job_id in self.index.entries:
+            self.queries.query(pending_response, job_id)
+        else:
+            self._reject_unless_accepted(pending_response, job_id, HTTPStatus.BAD_REQUEST, reason)
+
+    def _reject_unless_accepted(
+        self, pending_response: PendingResponse, job_id: str, http_status: int, reason: str
+    ) -> None:
+        """An accepted job never gets 400 or 422, whatever a repeat of it holds."""
+        self.responder.when_current(
+            pending_response,
+            job_id,
+            lambda: self.responder.send_error(pending_response, http_status, reason),
+        )
+
+    # -- acceptance ------------------------------------------------------------------------
+
+    def _accept_with_dependencies(
+        self, pending_response: PendingResponse, spec: Submission
+    ) -> None:
+        """Accept the job if all jobs that it depends on were accepted, here or elsewhere."""
+        if self._dependencies_accepted(spec):
+            self._accept(pending_response, spec)
+            return
+
+        def on_missing() -> None:
+            if self._dependencies_accepted(spec):
+                self._accept(pending_response, spec)
+            else:
+                self.responder.send_error(
+                    pending_response,
+                    HTTPStatus.UNPROCESSABLE_ENTITY,
+                    "awaits a job that was never accepted",
+                )
+
+        self.responder.when_current(pending_response, spec.job_id, on_missing)
+
+    def _dependencies_accepted(self, spec: Submission) -> bool:
+        return all(job_id in self.index.entries for job_id in spec.depends_on or ())
+
+    def _accept(self, pending_response: PendingResponse, spec: Submission) -> None:
+        """Choose a shard for the job, and write its record."""
+        shard_id = self.shard_chooser.choose(spec)
+        if shard_id is None:
+            self.responder.send_unavailable(pending_response, "no block open yet")
+            return
+        spec = self._without_done_dependencies(spec)
+        value = msgspec.json.encode(
+            JobRecord(
+                shard_id, round(self.context.wall_time * 1000), spec.task_count, JobState.OPEN, spec
+            )
+        )
+        if len(value) > self.context.record_format.value_bytes:
+            self.responder.send_error(pending_response, HTTPStatus.BAD_REQUEST, "too long")
+            return
+        self._write_record(
+            spec, shard_id, value, self._acceptance_handler(pending_response, spec, shard_id)
+        )
+
+    def _without_done_dependencies(self, spec: Submission) -> Submission:
+        """Done never goes back: what is done need not stand in the record."""
+        if spec.depends_on is None:
+            return spec
+        depends_on = [
+            job_id
+            for job_id in dict.fromkeys(spec.depends_on)
+            if self.index.entries[job_id].state is not JobState.DONE
+        ]
+        return msgspec.structs.replace(spec, depends_on=depends_on or None)
+
+    def _write_record(
+        self,
+        spec: Submission,
+        shard_id: str,
+        value: bytes,
+        on_result: Callable[[WriteResult], None],
+    ) -> None:
+        """Write the job's record if there is none; with it, a limited team's shard."""
+        key = JOB_PREFIX + spec.job_id
+        conditions = {key: 0}
+        changes = [Change(key, value)]
+        if self.teams[spec.team].limited:
+            team_key = TEAM_PREFIX + spec.team
+            conditions[team_key] = self.watch.mod_revision(team_key)
+            if spec.team not in self.registry.team_shards:
+                changes.append(Change(team_key, msgspec.json.encode(TeamShard(shard_id))))
+        self.context.state_client.write(
+            Write(
+                conditions,
+                changes,
+                on_result,
+                RequestPriority.ACCEPT,
+                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
+            )
+        )
+
+    def _acceptance_handler(
+        self, pending_response: PendingResponse, spec: Submission, shard_id: str
+    ) -> Callable[[WriteResult], None]:
+        """Responds to the submission once the write of its record has ended."""
+
+        def on_result(result: WriteResult) -> None:
+            if result.committed:
+                self._on_accepted(pending_response, spec, shard_id)
+            elif result.conflicted:
+                # The record exists: accepted before, here or elsewhere.
+                self._respond_after_conflict(pending_response, spec.job_id)
+            else:
+                self.responder.send_unavailable(pending_response, "state service did not answer")
+
+        return on_result
+
+    def _on_accepted(
+        self, pending_response: PendingResponse, spec: Submission, shard_id: str
+    ) -> None:
+        log.info(
+            "job accepted job=%s shard=%s tasks=%d class=%s",
+            spec.job_id,
+            shard_id,
+            spec.task_count,
+            spec.job_class,
+        )
+        cancelled = any(self.index.is_cancelled(job_id) for job_id in spec.depends_on or ())
+        state = JobState.CANCELLED if cancelled else JobState.PENDING
+        self.responder.send_status(
+            pending_response, JobStatus(spec.job_id, state), HTTPStatus.CREATED
+        )
+
+    def _respond_after_conflict(self, pending_response: PendingResponse, job_id: str) -> None:
+        """Respond with the current state of the job that was accepted before."""
+        self.responder.when_current(
+            pending_response,
+            job_id,
+            on_missing=lambda: self.responder.send_unavailable(pending_response, NOT_DECIDED),
+            unavailable_reason=NOT_DECIDED,
+        )
--- /dev/null
+++ b/fallpulley/jobs/cancellation.py
@@ -0,0 +1,92 @@
+"""Users' cancellations of jobs."""
+
+from __future__ import annotations
+
+import logging
+
+import msgspec
+
+from fallpulley.context import ControllerContext
+from fallpulley.effects import PendingResponse
+from fallpulley.jobs.job_index import JOB_PREFIX, JobEntry, JobIndex
+from fallpulley.jobs.messages import FINAL_STATES, JOB_ID, JobState, JobStatus
+from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
+from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
+
+log = logging.getLogger(__name__)
+
+# A write that has not gone out by then is refused: its user would ask again anyway.
+MAX_WRITE_WAIT_SECONDS = 2.0
+# So often a cancellation is decided anew after a conflicting write.
+MAX_CANCEL_RETRIES = 3
+
+
+class JobCancellation:
+    """Handles `POST /work/{id}/abort`."""
+
+    def __init__(
+        self, context: ControllerContext, index: JobIndex, responder: JobResponder
+    ) -> None:
+        self.context = context
+        self.index = index
+        self.responder = responder
+        self._newly_cancelled: list[str] = []
+
+    def drain_newly_cancelled(self) -> list[str]:
+        """Jobs whose cancellation was made durable here since the last call."""
+        newly_cancelled, self._newly_cancelled = self._newly_cancelled, []
+        return newly_cancelled
+
+    def cancel(self, pending_response: PendingResponse, job_id: str) -> None:
+        """Make the job's record say cancelled, unless it is final; respond with its state."""
+        if not JOB_ID.fullmatch(job_id):
+            self.responder.send_no_such_job(pending_response)
+            return
+        entry = self.index.entries.get(job_id)
+        if entry is not None and entry.state is JobState.OPEN:
+            # The write's own condition says whether this is still the newest state.
+            self._write_cancellation(pending_response, job_id, entry, MAX_CANCEL_RETRIES)
+        else:
+            self._cancel_when_current(pending_response, job_id, MAX_CANCEL_RETRIES)
+
+    def _cancel_when_current(
+        self, pending_response: PendingResponse, job_id: str, retries_left: int
+    ) -> None:
+        """Decide by a final state in memory, else by a record read from now on."""
+        entry = self.index.entries.get(job_id)
+        if entry is not None and entry.state in FINAL_STATES:
+            self.responder.send_state(pending_response, job_id, entry)
+            return
+        self.responder.when_current(
+            pending_response,
+            job_id,
+            on_missing=lambda: self.responder.send_no_such_job(pending_response),
+            on_open=lambda entry: self._write_cancellation(
+                pending_response, job_id, entry, retries_left
+            ),
+        )
+
+    def _write_cancellation(
+        self, pending_response: PendingResponse, job_id: str, entry: JobEntry, retries_left: int
+    ) -> None:
+        key = JOB_PREFIX + job_id
+
+        def on_result(result: WriteResult) -> None:
+            if result.committed:
+                log.info("job cancelled job=%s", job_id)
+                self._newly_cancelled.append(job_id)
+                self.responder.send_status(pending_response, JobStatus(job_id, JobState.CANCELLED))
+            elif result.conflicted and retries_left > 0:
+                self._cancel_when_current(pending_response, job_id, retries_left - 1)
+            else:
+                self.responder.send_unavailable(pending_response, NOT_DECIDED)
+
+        self.context.state_client.write(
+            Write(
+                {key: entry.mod_revision},
+                [Change(key, msgspec.json.encode(entry.cancelled_record()))],
+                on_result,
+                RequestPriority.ACCEPT,
+                expires_at=self.context.now + MAX_WRITE_WAIT_SECONDS,
+            )
+        )
--- a/fallpulley/jobs/messages.py
+++ b/fallpulley/jobs/messages.py
@@ -1,4 +1,4 @@
-"""What users send and get, and the durable records of jobs. Wire names end here."""
+"""Messages between users and controllers, and the stored records of jobs, with their wire names."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class JobState(StrEnum):
-    """Where a job stands. Values as in the protocol's field `stage`; `OPEN` in records alone."""
+    """The state of a job. Values as in the protocol's field `stage`; `OPEN` in records alone."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -122,18 +122,18 @@
     task_count: int
     state: JobState = JobState.OPEN
     spec: Submission | None = None
-    # When it ended: what awaits it counts its times from then. 0: the record's writer did not say.
+    # When it ended: jobs that depend on it count their times from then. 0: its writer didn't say.
     finished_at_ms: int = 0
 
 
 class Progress(msgspec.Struct):
-    """`prog/<id>/<chunk>`: a bitmap of completed tasks, in base64."""
+    """`prog/<id>/<chunk>`: a chunk of the bitmap of completed tasks, in base64."""
 
     bits: str
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"job_id": "uid", "state": "stage"}):
-    """The answer about a job."""
+    """The response about a job. `done` and `running` count tasks."""
 
     job_id: str
     state: JobState
@@ -141,19 +141,23 @@
     running: int | None = None
 
 
-def parse_submission(body: bytes) -> Submission | str:
-    """The submission, or what is malformed about it."""
+class SubmissionError(ValueError):
+    """A submission is malformed; its text says what, as the user is told."""
+
+
+def parse_submission(body: bytes) -> Submission:
+    """Decode a submission. Raises SubmissionError if it is malformed."""
     try:
-        found = msgspec.json.decode(body, type=Submission)
+        spec = msgspec.json.decode(body, type=Submission)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        return str(error) or "malformed"
-    if not JOB_ID.fullmatch(found.job_id):
-        return "Not a job id - at `$.uid`"
-    if found.machine_types is not None and not found.machine_types:
-        return "No machine type allowed - at `$.builds`"
-    if found.estimated_run_s <= 0 and found.kind != JobKind.SERVICE:
-        return "Expected `float` > 0 - at `$.expect_s`"
-    return found
+        raise SubmissionError(str(error) or "malformed") from error
+    if not JOB_ID.fullmatch(spec.job_id):
+        raise SubmissionError("Not a job id - at `$.uid`")
+    if spec.machine_types is not None and not spec.machine_types:
+        raise SubmissionError("No machine type allowed - at `$.builds`")
+    if spec.estimated_run_s <= 0 and spec.kind is not JobKind.SERVICE:
+        raise SubmissionError("Expected `float` > 0 - at `$.expect_s`")
+    return spec
 
 
 class _NamedJob(msgspec.Struct, rename={"job_id": "uid"}):
@@ -161,27 +165,31 @@
 
 
 def job_id_of(body: bytes) -> str | None:
-    """The job that a malformed submission names: it may be a repeat of one that was accepted."""
+    """The job that a malformed submission names, None if it names none.
+
+    It may be a repeat of one that was accepted.
+    """
     try:
-        uid = msgspec.json.decode(body, type=_NamedJob).job_id
+        job_id = msgspec.json.decode(body, type=_NamedJob).job_id
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    return uid if JOB_ID.fullmatch(uid) else None
+    return job_id if JOB_ID.fullmatch(job_id) else None
 
 
 def task_id(job_id: str, index: int) -> str:
+    """A task's name in the protocol."""
     return f"{job_id}/{index}"
 
 
 class TaskId(NamedTuple):
-    """A task's job and its number in it."""
+    """A task's job and its index in it."""
 
     job_id: str
     task_index: int
 
 
 def parse_task_id(text: str) -> TaskId | None:
-    """Job and number of a task by its name; None for anything else."""
+    """Job and index of a task by its name; None for anything else."""
     job_id, slash, index = text.rpartition("/")
     if not slash or not index.isdigit() or not JOB_ID.fullmatch(job_id):
         return None
--- a/fallpulley/jobs/persistence.py
+++ b/fallpulley/jobs/persistence.py
@@ -1,131 +1,125 @@
-"""Makes durable what a held block's machines report: completed tasks, and ends of jobs."""
+"""Makes durable what the machines of owned shards report: completed tasks, and ends of jobs."""
 
 from __future__ import annotations
 
 import base64
 import logging
+from http import HTTPStatus
 
 import msgspec
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
-from fallpulley.jobs.completion import chunk_name, chunk_tasks, is_chunk_name
-from fallpulley.jobs.messages import JOB_ID, JobRecord, JobState, Progress
+from fallpulley.jobs.completion import chunk_name, chunk_tasks
+from fallpulley.jobs.job_index import JOB_PREFIX, JobEntry
+from fallpulley.jobs.messages import JobRecord, JobState, Progress
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.jobs.service import JOB_PREFIX, JobEntry
+from fallpulley.jobs.progress_loading import ProgressLoader
+from fallpulley.jobs.stored_progress import ProgressItem, progress_key
 from fallpulley.shards.shard import Shard
 from fallpulley.state.client import Change, RequestPriority, Write, WriteResult
 
 log = logging.getLogger(__name__)
 
-PROGRESS_PREFIX = "prog/"
-PAGE_SIZE = 400
-# Completed tasks wait this many report intervals before their progress is written: most jobs
+# Completed tasks wait this many heartbeat intervals before their progress is written: most jobs
 # end sooner, and their last record alone says it all.
-PROGRESS_REPORTS = 4.0
-
-
-class _Item(msgspec.Struct, rename={"key": "k", "value": "v", "mod_revision": "stamp"}):
-    key: str
-    value: Progress
-    mod_revision: int
-
-
-class _Page(msgspec.Struct, rename={"items": "pairs"}):
-    items: list[_Item]
-    has_next: bool = False
+PROGRESS_DELAY_HEARTBEATS = 4.0
+# No more progress is written while so many changes of its priority are queued.
+MAX_QUEUED_CHANGES = 4
+# Chunks of a job that are written at a time.
+MAX_CHUNKS_AT_ONCE = 4
+# Requests that have not gone out by then are dropped, and decided anew.
+MAX_PROGRESS_WAIT_SECONDS = 5.0
+MAX_COMPLETION_WAIT_SECONDS = 2.0
+COMPLETION_RETRY_SECONDS = 0.3
 
 
 class JobPersistence:
+    """Writes completions, progress and dependent cancellations of an owned shard's jobs."""
+
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
         self.first_format_chunk_tasks = chunk_tasks(context.settings.facts.state.value_kb)
         self.chunk_tasks = chunk_tasks(context.record_format.strictest_limits.value_kb)
-        self._loading_shards: set[int] = set()
-        self._cancellations_pending: set[str] = set()  # records under way
+        self._loader = ProgressLoader(context, self.first_format_chunk_tasks)
+        self._cancellations_pending: set[str] = set()  # jobs whose record is being written
 
     def tick(self, shard: Shard, cancelled_with_dependencies: dict[str, JobEntry]) -> None:
-        """`derived`: jobs of the block that are withdrawn with others; their records follow."""
+        """Write what is due for an owned shard.
+
+        `cancelled_with_dependencies`: jobs of the shard that are cancelled because one that they
+        depend on is; their own records follow.
+        """
         for job_id, entry in cancelled_with_dependencies.items():
-            if self.context.state_client.queued_changes(RequestPriority.PROGRESS) >= 4:
+            if not self._may_queue_progress():
                 break
             self._write_dependent_cancellation(job_id, entry)
         if not shard.progress_loaded:
-            self._load_progress(shard)
+            self._loader.load(shard)
             return
         now = self.context.now
-        age = PROGRESS_REPORTS * self.context.timing.report_s
+        delay_s = PROGRESS_DELAY_HEARTBEATS * self.context.timing.report_s
         for job in shard.jobs.values():
             if job.cancelled:
                 continue
             if job.finished:
                 if not job.final_write_pending and now >= job.retry.not_before:
                     self._write_completion(shard, job)
-            elif (
-                job.progress.unsaved_since is not None
-                and not job.progress.write_pending
-                and now > job.progress.unsaved_since + age
-                and self.context.state_client.queued_changes(RequestPriority.PROGRESS) < 4
-            ):
+            elif self._is_progress_due(job, now, delay_s):
                 self._write_progress(job)
 
-    def _write_dependent_cancellation(self, job: str, entry: JobEntry) -> None:
-        if job in self._cancellations_pending:
-            return
-        self._cancellations_pending.add(job)
-        key = JOB_PREFIX + job
-        value = msgspec.json.encode(
-            JobRecord(entry.shard_id, entry.submitted_at_ms, entry.task_count, JobState.CANCELLED)
+    def _is_progress_due(self, job: OpenJob, now: float, delay_s: float) -> bool:
+        progress = job.progress
+        return (
+            progress.unsaved_since is not None
+            and not progress.write_pending
+            and now > progress.unsaved_since + delay_s
+            and self._may_queue_progress()
         )
 
+    def _may_queue_progress(self) -> bool:
+        queued = self.context.state_client.queued_changes(RequestPriority.PROGRESS)
+        return queued < MAX_QUEUED_CHANGES
+
+    # -- ends of jobs ----------------------------------------------------------------------
+
+    def _write_dependent_cancellation(self, job_id: str, entry: JobEntry) -> None:
+        if job_id in self._cancellations_pending:
+            return
+        self._cancellations_pending.add(job_id)
+        key = JOB_PREFIX + job_id
+
         def on_result(result: WriteResult) -> None:
-            self._cancellations_pending.discard(job)
+            self._cancellations_pending.discard(job_id)
 
         self.context.state_client.write(
             Write(
                 {key: entry.mod_revision},
-                [Change(key, value)],
+                [Change(key, msgspec.json.encode(entry.cancelled_record()))],
                 on_result,
                 RequestPriority.PROGRESS,
-                expires_at=self.context.now + 5.0,
+                expires_at=self.context.now + MAX_PROGRESS_WAIT_SECONDS,
             )
         )
 
     def _write_completion(self, shard: Shard, job: OpenJob) -> None:
-        """Every task is done: the record says so before anybody else does."""
+        """Every task is completed: the record says so before any response does."""
         job.final_write_pending = True
         key = JOB_PREFIX + job.job_id
-        record = job.record
-        finished_at_ms = round(self.context.wall_time * 1000)
-        value = msgspec.json.encode(
-            JobRecord(
-                record.shard_id,
-                record.submitted_at_ms,
-                record.task_count,
-                JobState.DONE,
-                finished_at_ms=finished_at_ms,
-            )
-        )
-        changes = [Change(key, value)]
+        changes = [Change(key, self._completed_record(job.record))]
         conditions = {key: job.mod_revision}
         # As many progress values as the transaction holds; what is left of them harms nothing.
-        for name, mod_revision in list(job.progress.revisions.items())[
-            : self.context.record_format.txn_ops - 1
-        ]:
-            conditions[f"{PROGRESS_PREFIX}{job.job_id}/{name}"] = mod_revision
-            changes.append(Change(f"{PROGRESS_PREFIX}{job.job_id}/{name}", None))
+        max_values = self.context.record_format.txn_ops - 1
+        for name, mod_revision in list(job.progress.revisions.items())[:max_values]:
+            chunk_key = progress_key(job.job_id, name)
+            conditions[chunk_key] = mod_revision
+            changes.append(Change(chunk_key, None))
 
         def on_result(result: WriteResult) -> None:
             log.info(
-                "job done job=%s status=%s term=%d", job.job_id, result.status, shard.fencing_token
+                "job done job=%s status=%s token=%d", job.job_id, result.status, shard.fencing_token
             )
-            if result.conflicted and job.progress.revisions:
-                # A late progress write got in between: leave the values, the end counts.
-                job.progress.revisions.clear()
-            if not result.committed:
-                # The watch shows the record if the write got through after all.
-                job.retry.not_before = self.context.now + 0.3
-                job.final_write_pending = False
+            self._on_completion_result(job, result)
 
         self.context.state_client.write(
             Write(
@@ -133,107 +127,88 @@
                 changes,
                 on_result,
                 RequestPriority.ACCEPT,
-                expires_at=self.context.now + 2.0,
+                expires_at=self.context.now + MAX_COMPLETION_WAIT_SECONDS,
             )
         )
 
+    def _completed_record(self, record: JobRecord) -> bytes:
+        return msgspec.json.encode(
+            JobRecord(
+                record.shard_id,
+                record.submitted_at_ms,
+                record.task_count,
+                JobState.DONE,
+                finished_at_ms=round(self.context.wall_time * 1000),
+            )
+        )
+
+    def _on_completion_result(self, job: OpenJob, result: WriteResult) -> None:
+        if result.conflicted and job.progress.revisions:
+            # A late progress write got in between: leave the values, the end counts.
+            job.progress.revisions.clear()
+        if not result.committed:
+            # The watch brings the record if the write got through after all.
+            job.retry.not_before = self.context.now + COMPLETION_RETRY_SECONDS
+            job.final_write_pending = False
+
+    # -- progress --------------------------------------------------------------------------
+
     def _write_progress(self, job: OpenJob) -> None:
-        newer = self.context.record_format.compact
-        tasks = self.chunk_tasks if newer else self.first_format_chunk_tasks
+        compact = self.context.record_format.compact
+        tasks = self.chunk_tasks if compact else self.first_format_chunk_tasks
         job.progress.unsaved_since = None
-        for number in job.progress.unsaved_chunks(tasks)[:4]:
-            self._write_chunk(job, number, tasks, chunk_name(number, tasks, newer))
+        for number in job.progress.unsaved_chunks(tasks)[:MAX_CHUNKS_AT_ONCE]:
+            self._write_chunk(job, number, tasks, chunk_name(number, tasks, compact))
 
     def _write_chunk(self, job: OpenJob, number: int, tasks: int, name: str) -> None:
-        job.progress.write_pending = True
-        key = f"{PROGRESS_PREFIX}{job.job_id}/{name}"
-        content = job.progress.completed.chunk(number, tasks)
+        progress = job.progress
+        progress.write_pending = True
+        key = progress_key(job.job_id, name)
+        content = progress.completed.chunk(number, tasks)
         value = msgspec.json.encode(Progress(base64.b64encode(content).decode()))
 
         def on_result(result: WriteResult) -> None:
-            job.progress.write_pending = False
+            progress.write_pending = False
             if result.committed:
-                job.progress.revisions[name] = result.revision
-                job.progress.durable.replace_chunk(number, tasks, content)
+                progress.revisions[name] = result.revision
+                progress.durable.replace_chunk(number, tasks, content)
                 return
-            if job.progress.unsaved_since is None:
-                job.progress.unsaved_since = self.context.now
+            if progress.unsaved_since is None:
+                progress.unsaved_since = self.context.now
             if result.conflicted or result.unknown:
                 self._reload_chunk(job, name)
 
         self.context.state_client.write(
             Write(
-                {key: job.progress.revisions.get(name, 0)},
+                {key: progress.revisions.get(name, 0)},
                 [Change(key, value)],
                 on_result,
                 RequestPriority.PROGRESS,
-                expires_at=self.context.now + 5.0,
+                expires_at=self.context.now + MAX_PROGRESS_WAIT_SECONDS,
             )
         )
 
     def _reload_chunk(self, job: OpenJob, name: str) -> None:
         """Somebody's write, perhaps our own late one, changed the value: merge it."""
-        job.progress.write_pending = True
-        path = f"/store/{PROGRESS_PREFIX}{job.job_id}/{name}"
+        progress = job.progress
+        progress.write_pending = True
 
         def on_response(response: Response) -> None:
-            job.progress.write_pending = False
-            if response.status == 404:
-                job.progress.revisions.pop(name, None)
+            progress.write_pending = False
+            if response.status == HTTPStatus.NOT_FOUND:
+                progress.revisions.pop(name, None)
             elif response.ok:
                 try:
-                    item = msgspec.json.decode(response.body, type=_Item)
+                    item = msgspec.json.decode(response.body, type=ProgressItem)
                 except msgspec.MsgspecError:
                     return
-                job.progress.merge_stored_chunk(
+                progress.merge_stored_chunk(
                     name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision
                 )
 
         self.context.state_client.request(
-            path, on_response, RequestPriority.PROGRESS, expires_at=self.context.now + 5.0
-        )
-
-    # -- after a takeover ------------------------------------------------------------------
-
-    def _load_progress(self, shard: Shard) -> None:
-        if id(shard) in self._loading_shards:
-            return
-        self._loading_shards.add(id(shard))
-        self._load_page(shard, "")
-
-    def _load_page(self, shard: Shard, after: str) -> None:
-        path = f"/store?under={PROGRESS_PREFIX}&page={PAGE_SIZE}" + (
-            f"&after={after}" if after else ""
-        )
-
-        def on_response(response: Response) -> None:
-            page: _Page | None = None
-            if response.ok:
-                try:
-                    page = msgspec.json.decode(response.body, type=_Page)
-                except msgspec.MsgspecError:
-                    log.error("state broken progress page")
-            if page is None:
-                self._loading_shards.discard(id(shard))
-                return
-            for item in page.items:
-                self._merge_progress(shard, item)
-            if page.has_next and page.items:
-                self._load_page(shard, page.items[-1].key)
-                return
-            self._loading_shards.discard(id(shard))
-            shard.progress_loaded = True
-            shard.needs_replan = True
-            log.info("progress loaded block=%s jobs=%d", shard.shard_id, len(shard.jobs))
-
-        self.context.state_client.request(
-            path, on_response, RequestPriority.PROGRESS, timeout_s=5.0
+            f"/store/{progress_key(job.job_id, name)}",
+            on_response,
+            RequestPriority.PROGRESS,
+            expires_at=self.context.now + MAX_PROGRESS_WAIT_SECONDS,
         )
-
-    def _merge_progress(self, shard: Shard, item: _Item) -> None:
-        job_id, _, name = item.key[len(PROGRESS_PREFIX) :].rpartition("/")
-        job = shard.jobs.get(job_id)
-        if job is not None and JOB_ID.fullmatch(job_id) and is_chunk_name(name):
-            job.progress.merge_stored_chunk(
-                name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision
-            )
