--- a/fallpulley/fleet/abandonment.py
+++ b/fallpulley/fleet/abandonment.py
@@ -1,4 +1,4 @@
-"""Machines that a shard gives back to the cloud: of no use, idle, or out of reach."""
+"""Abandonment: giving a shard's idle, unusable or unreachable machines back to the cloud."""
 
 from __future__ import annotations
 
@@ -16,38 +16,43 @@
 
 log = logging.getLogger(__name__)
 
-# A machine that is not up after so many boot times goes back, twice those after which it is not
-# counted on. Some take several times as long, a few never come.
-ABANDON_BOOT_TIMES = 4.0
-# But not before so many leases.
-ABANDON_BOOT_LEASES = 2
-# A machine that was offline for so many leases goes back: most likely it is no more.
-ABANDON_OFFLINE_LEASES = 2.5
-# A machine on which so many tasks have completed for each job that failed there is not faulty.
+# How long a new machine may take to come online before it is abandoned, in boot times of its type.
+# Some machines take several boot times and a few never come online. This is twice
+# `supply.COUNTED_BOOT_TIMES`, after which the machine no longer counts as supply.
+MAX_STARTUP_BOOT_TIMES = 4.0
+# The least time that a new machine gets to come online, in worker leases.
+MIN_STARTUP_LEASES = 2
+# How long a machine may be offline, in worker leases, before it is abandoned: after that it most
+# likely no longer exists. Also the limit for a machine that our responses do not reach.
+MAX_OFFLINE_LEASES = 2.5
+# A machine is not faulty if at least this many tasks completed on it per job that failed there.
 COMPLETED_TASKS_PER_FAILED_JOB = 4
-# After a failover a machine may stay unreachable for this share of a lease.
-UNRECONCILED_LEASES = 0.25
-# When more than this share of a zone is out of reach, it is the network: they will be back. A
-# wave of preemptions takes a third or a half of the spot machines, among others that answer.
-UNRECONCILED_SHARE = 0.4
-# A machine counts as unreachable after so many status probes without a response.
+# How long a machine has after a failover to report its tasks, in worker leases, before the leader
+# may have it released as unreachable.
+RECONCILIATION_WAIT_LEASES = 0.25
+# If more than this share of a shard's machines in a zone is unreconciled, the network is at fault
+# and the machines will come back, so none is released. A wave of preemptions takes a third to a
+# half of the spot machines, but other machines in the zone still respond. A single unreconciled
+# machine may always be released.
+MAX_UNRECONCILED_ZONE_SHARE = 0.4
+# Status probes without a response after which a machine counts as unreachable.
 MIN_PROBE_FAILURES = 2
 
 
 class AbandonReason(Enum):
-    """Why a machine is given back; the values stand in log lines."""
+    """Why a machine is given back to the cloud; the values appear in log lines."""
 
     IDLE = "idle"
-    UNACKNOWLEDGED = "unacknowledged"  # its heartbeats come, but it does not hear us
+    UNACKNOWLEDGED = "unacknowledged"  # its heartbeats arrive, but our responses do not reach it
     RELEASED = "released"  # the cloud has confirmed its release
-    FAILED = "failed"  # the cloud says that it has stopped
+    FAILED = "failed"  # the cloud lists it as stopped for good
     OFFLINE = "offline"
     NEVER_ONLINE = "never-online"
-    FAULTY = "faulty"  # jobs fail on it
+    FAULTY = "faulty"  # several jobs failed on it, and few tasks completed
 
 
 class MachineAbandoner:
-    """Removes machines from a shard's record, which has them released."""
+    """Removes machines from a shard's record, which leads to their release by the leader."""
 
     def __init__(
         self,
@@ -61,8 +66,11 @@
         self.writer = writer
         self.provider = provider
 
-    def abandon_useless(self, shard: Shard) -> None:
-        """Abandon machines that never came up, went offline, stopped or are faulty."""
+    def abandon_unusable(self, shard: Shard) -> None:
+        """Abandon machines that are unacknowledged, offline, stopped, released or faulty.
+
+        Machines that hold tasks, or may hold unknown ones after a failover, are kept.
+        """
         listed_machines = self.provider.listed_machines
         for machine in shard.machines.values():
             if machine.scale_in.leaving_shard:
@@ -77,7 +85,10 @@
                 self.abandon(shard, machine, reason)
 
     def abandon(self, shard: Shard, machine: Machine, reason: AbandonReason) -> None:
-        """From here nothing is placed on it, whatever becomes of the write."""
+        """Remove a machine from its shard's record.
+
+        No task is placed on the machine from now on, even if the write of the record fails.
+        """
         log.info(
             "machine abandoned machine=%s reason=%s shard=%s",
             machine.machine_id,
@@ -90,9 +101,11 @@
         self.writer.remove(shard.shard_id, machine.machine_id)
 
     def _reason_to_abandon(self, machine: Machine) -> AbandonReason | None:
-        """Why a machine without tasks is of no use; None: it is, or may be."""
+        """Return why a machine without tasks should be abandoned, or None to keep it."""
         unacknowledged_since = machine.fencing.unacknowledged_since
-        if unacknowledged_since is not None and self._lasts_too_long(unacknowledged_since):
+        if unacknowledged_since is not None and self._exceeds_max_offline_time(
+            unacknowledged_since
+        ):
             return AbandonReason.UNACKNOWLEDGED
         if not machine.heartbeat.online:
             return self._reason_to_abandon_offline(machine)
@@ -105,41 +118,51 @@
         return None
 
     def _reason_to_abandon_offline(self, machine: Machine) -> AbandonReason | None:
+        """Return why an offline machine should be abandoned, or None to keep it."""
         if machine.machine_id in self.provider.released_at:
             return AbandonReason.RELEASED
         if machine.scale_in.failed_in_cloud:
             return AbandonReason.FAILED
         offline_since = max(machine.heartbeat.received_at, machine.granted_at)
         if machine.heartbeat.ever_online:
-            return AbandonReason.OFFLINE if self._lasts_too_long(offline_since) else None
+            return AbandonReason.OFFLINE if self._exceeds_max_offline_time(offline_since) else None
         if self.context.now - offline_since > self._max_boot_s(machine):
             return AbandonReason.NEVER_ONLINE
         return None
 
-    def _lasts_too_long(self, since: float) -> bool:
-        max_offline_s = ABANDON_OFFLINE_LEASES * self.context.timing.lease_s
+    def _exceeds_max_offline_time(self, since: float) -> bool:
+        """Return whether more than `MAX_OFFLINE_LEASES` have passed since that time."""
+        max_offline_s = MAX_OFFLINE_LEASES * self.context.timing.lease_s
         return self.context.now - since > max_offline_s
 
     def _max_boot_s(self, machine: Machine) -> float:
+        """Return how many seconds the machine may take to come online."""
         machine_type = self.registry.machine_types.get(machine.entry.machine_type)
         boot_s = machine_type.boot_s if machine_type else DEFAULT_BOOT_SECONDS
-        return max(ABANDON_BOOT_TIMES * boot_s, ABANDON_BOOT_LEASES * self.context.timing.lease_s)
+        return max(
+            MAX_STARTUP_BOOT_TIMES * boot_s, MIN_STARTUP_LEASES * self.context.timing.lease_s
+        )
 
-    # -- machines out of reach after a failover --------------------------------------------
+    # -- unreachable machines after a failover ---------------------------------------------
 
     def confirm_unreachable_gone(self, shard: Shard) -> None:
-        """Have machines released that do not answer after a failover.
+        """Request the release of machines that do not respond after a failover.
 
-        Such a machine holds back every job accepted before it. Nearly always it is dead; the
-        cloud's answer to its release confirms it empty. Only the leader asks for that.
+        While such a machine may hold unknown tasks, no job that was accepted before the failover
+        can proceed. It is nearly always dead, and the cloud's confirmation of its release proves
+        that it holds no tasks: from then on it is no longer unreconciled. Only the leader requests
+        these releases.
         """
-        if self.context.now - shard.acquired_at < UNRECONCILED_LEASES * self.context.timing.lease_s:
+        if (
+            self.context.now - shard.acquired_at
+            < RECONCILIATION_WAIT_LEASES * self.context.timing.lease_s
+        ):
             return
         machines_in_zone, unreconciled_in_zone = _count_by_zone(shard)
         for machine_id in list(shard.unreconciled):
             machine = shard.machines[machine_id]
             zone = machine.entry.zone
-            max_unreconciled = max(1.0, UNRECONCILED_SHARE * machines_in_zone[zone])
+            max_unreconciled = max(1.0, MAX_UNRECONCILED_ZONE_SHARE * machines_in_zone[zone])
             if machine_id in self.provider.released_at:
                 shard.confirm_gone(machine_id)
             elif (
@@ -148,13 +171,15 @@
                 and unreconciled_in_zone[zone] <= max_unreconciled
             ):
                 log.info(
-                    "unreachable machine released machine=%s shard=%s", machine_id, shard.shard_id
+                    "release requested for unreachable machine machine=%s shard=%s",
+                    machine_id,
+                    shard.shard_id,
                 )
                 self.provider.release_requested.add(machine_id)
 
 
 def _count_by_zone(shard: Shard) -> tuple[Counter[str], Counter[str]]:
-    """The shard's machines in each zone, and those of them that are unreconciled."""
+    """Count the shard's machines in each zone, and the unreconciled ones among them."""
     machines: Counter[str] = Counter()
     unreconciled: Counter[str] = Counter()
     for machine_id, machine in shard.machines.items():
@@ -164,5 +189,5 @@
 
 
 def _is_unreachable(machine: Machine) -> bool:
-    """It did not respond to probes, or cannot be probed."""
+    """Return whether the machine fails to respond to probes or has no address to be probed at."""
     return machine.fencing.probe_failures >= MIN_PROBE_FAILURES or not machine.entry.address
--- a/fallpulley/fleet/action_guard.py
+++ b/fallpulley/fleet/action_guard.py
@@ -1,4 +1,4 @@
-"""What must hold before an action on machines goes out."""
+"""Permission for actions on machines: renting, releasing and adopting them."""
 
 from __future__ import annotations
 
@@ -8,50 +8,64 @@
 
 
 class ActionGuard(Protocol):
-    """Permits actions on machines. The provider asks it before each action, and notifies it when
-    the cloud has carried one out or refused it."""
+    """Permits or holds back actions on machines.
+
+    The machine provider asks it before each action, and notifies it when the cloud has carried out
+    or refused a rental, or carried out a release.
+    """
 
     def may_adopt(self) -> bool:
-        """Machines that no record knows may be added to shards, or released."""
+        """Return whether machines that are in no record may be added to shards or released."""
 
     def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
-        """The rental request for a shard may go out now; else it is asked for again."""
+        """Return whether a rental request for a shard may be sent now.
+
+        If not, the provider asks again on a later tick.
+        """
 
     def on_rental_resolved(self, request_id: str) -> None:
-        """The cloud has answered the rental request for good."""
+        """Record that the cloud has filled or refused a rental request."""
 
     def next_release_batch(self, machine_ids: list[str]) -> list[str]:
-        """Which machines may be released now, of those named or of others; empty: not yet."""
+        """Return the machines that may be released now, or an empty list if none may be yet.
+
+        They need not be among `machine_ids`, the machines whose release is requested.
+        """
 
     def on_released(self, machine_ids: list[str]) -> None:
-        """The cloud has confirmed that the machines are gone."""
+        """Record that the cloud has confirmed the release of these machines."""
 
     def cleanup_conditions(self) -> dict[str, int] | None:
-        """Conditions under which records may be deleted, as keys and their revisions; None: they
-        may not be at present."""
+        """Return the conditions for deleting release records (key -> required revision).
+
+        None means that no record may be deleted at present.
+        """
 
 
 class PermitAll:
-    """An `ActionGuard` that permits every action: leadership alone says whose they are."""
+    """An `ActionGuard` that permits every action.
+
+    Leadership alone decides which controller acts: the provider runs only on the leader.
+    """
 
     def may_adopt(self) -> bool:
-        """Always."""
+        """Return True."""
         return True
 
     def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
-        """Always."""
+        """Return True."""
         return True
 
     def on_rental_resolved(self, request_id: str) -> None:
-        """Nothing is recorded about it."""
+        """Do nothing: there is no state to update."""
 
     def next_release_batch(self, machine_ids: list[str]) -> list[str]:
-        """All of those named."""
+        """Return all of the given machines."""
         return machine_ids
 
     def on_released(self, machine_ids: list[str]) -> None:
-        """Nothing is recorded about it."""
+        """Do nothing: there is no state to update."""
 
     def cleanup_conditions(self) -> dict[str, int] | None:
-        """No conditions."""
+        """Return no conditions."""
         return {}
--- a/fallpulley/fleet/adoption.py
+++ b/fallpulley/fleet/adoption.py
@@ -1,4 +1,4 @@
-"""Machines that the cloud lists and no record knows: adopted into a shard, or released."""
+"""Adoption or release of machines that the cloud lists but no record contains."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 log = logging.getLogger(__name__)
 
-# A list may show a machine for so many of its lags after the release, and for a while more that
-# the call itself takes.
+# How long the cloud's list may still show a machine after its release: this many list lags
+# (`facts.cloud.list_lag_s`), plus the seconds that the release call itself may take.
 RELEASE_VISIBLE_LAGS = 2
 RELEASE_VISIBLE_SECONDS = 2.0
 
 
 class Adoption:
-    """Decides about unrecorded machines, for the leader."""
+    """Adopts or releases unrecorded machines on behalf of the leader."""
 
     def __init__(
         self,
@@ -46,19 +46,22 @@
         self._term_began_at = float("-inf")
 
     def begin_term(self) -> None:
-        """This controller leads from now on."""
+        """Note that this controller has become the leader."""
         self._term_began_at = self.context.now
 
     def adopt(self, machine_id: str, entry: MachineEntry) -> bool:
-        """Add a machine that the cloud lists to a shard; False where it was released, where it is
-        not ours to decide, or where no shard has room."""
+        """Add a machine that the cloud lists to a shard.
+
+        Returns False if the machine was or is to be released, if this controller may not adopt
+        machines, or if no shard has room.
+        """
         if (
             machine_id in self.releases.released_at
             or machine_id in self.registry.release_records
             or not self._action_guard().may_adopt()
         ):
             return False
-        shard_id = self.shard_choice.for_unrecorded()
+        shard_id = self.shard_choice.furthest_below_target()
         if shard_id is None:
             return False
         log.info(
@@ -68,22 +71,22 @@
         return True
 
     def process_list(self, machines: dict[str, ListedMachine]) -> None:
-        """Adopt or release the unrecorded machines of a new list, by machine_id."""
+        """Adopt or release the unrecorded machines of a new list, which is keyed by machine_id."""
         if not self._action_guard().may_adopt():
             return
-        visible_s = (
+        release_visible_s = (
             RELEASE_VISIBLE_LAGS * self.context.settings.facts.cloud.list_lag_s
             + RELEASE_VISIBLE_SECONDS
         )
         has_recorded = any(record.machines for record, _ in self.registry.shards.values())
-        if has_recorded and self.context.now < self._term_began_at + visible_s:
-            return  # the list may still show what an earlier leader has released
+        if has_recorded and self.context.now < self._term_began_at + release_visible_s:
+            return  # the list may still show machines that an earlier leader released
         for machine_id, machine in machines.items():
             if not self._is_accounted_for(machine_id):
-                self._process_unrecorded(machine_id, machine, visible_s)
+                self._process_unrecorded(machine_id, machine, release_visible_s)
 
     def _is_accounted_for(self, machine_id: str) -> bool:
-        """The machine is in a record or about to be, or is being released."""
+        """Return whether the machine is in a record, being added to one, or to be released."""
         return (
             machine_id in self.registry.shard_of_machine
             or machine_id in self.registry.release_records
@@ -92,16 +95,16 @@
         )
 
     def _process_unrecorded(
-        self, machine_id: str, machine: ListedMachine, visible_s: float
+        self, machine_id: str, machine: ListedMachine, release_visible_s: float
     ) -> None:
         released_at = self.releases.released_at.get(machine_id)
         if released_at is not None:
-            # Released and listed again after the list's lag: the release got lost.
-            if self.context.now > released_at + visible_s:
+            # Still listed although the list should no longer show it: the release was lost.
+            if self.context.now > released_at + release_visible_s:
                 self.releases.request(machine_id)
         elif machine.state == FAILED_STATE:
             self.releases.request(machine_id)
         elif not self.rentals.pending:
-            # While a rental has no answer, the machine may be one that it rents.
+            # While a rental request is pending, the machine may have been rented by it.
             entry = MachineEntry(machine.address, machine.machine_type, machine.zone, machine.spot)
             self.adopt(machine_id, entry)
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -1,4 +1,4 @@
-"""The owner's side of the fleet: what its shard should rent, and which machines go back."""
+"""Autoscaling by a shard's owner: which machines to rent for the shard and which to give back."""
 
 from __future__ import annotations
 
@@ -15,22 +15,26 @@
 from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.shard import Shard
 
-SIZING_INTERVAL_SECONDS = 1.0  # between two sizings of the fleet: far below any boot time
-# What a sizing took is to be so small a part of the time between two, up to a tenth of a boot time.
-SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOTS = 1 / 50, 0.1
-# The same where the cloud has just answered: while thousands of machines are rented it does so
-# several times a second, and each sizing goes through all of them.
+# Least time between two sizings of a shard's fleet, in seconds: far below any boot time.
+SIZING_INTERVAL_SECONDS = 1.0
+# Largest share of the controller's time that sizing may take; the interval between two sizings is
+# lengthened accordingly, up to this many boot times.
+SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOT_TIMES = 1 / 50, 0.1
+# The same share if the cloud has answered a rental request since the last sizing. It is limited
+# because the cloud answers several times a second while thousands of machines are being rented, and
+# each sizing goes through all machines.
 SIZING_TIME_SHARE_AFTER_RESPONSE = 1 / 5
 
-# After a failover, a shard's work is known once its machines' heartbeats have come.
-UNKNOWN_WORK_HEARTBEATS = 1.5
+# How long after a failover a shard's work is not known yet, in heartbeat intervals: its machines
+# report their tasks with their next heartbeats.
+WORK_UNKNOWN_HEARTBEATS = 1.5
 
-# The bound on a fleet where the settings have none.
-UNBOUNDED_MACHINES = 10**6
+# Largest number of machines if the settings have no `machines_max`.
+DEFAULT_MAX_MACHINES = 10**6
 
 
 class Autoscaler:
-    """Sizes the fleet of each shard of this controller, now and then."""
+    """Sizes the fleet of each shard that this controller owns, at intervals."""
 
     def __init__(
         self,
@@ -45,12 +49,16 @@
         self.provider = provider
         self.abandoner = MachineAbandoner(context, registry, writer, provider)
         self._smoother = DemandSmoother()
-        self._sized_at: dict[str, float] = {}  # by shard_id
-        self._interval_s: dict[str, float] = {}  # by shard_id, from the last sizing to the next
+        self._sized_at: dict[str, float] = {}  # time of the last sizing, by shard_id
+        # Seconds from the last sizing to the next, by shard_id.
+        self._interval_s: dict[str, float] = {}
 
     def tick(self, shard: Shard, leading: bool) -> list[MachineRequest]:
-        """Size the shard's fleet where it is time: abandon machines, and rent others as the leader.
-        Returns what the leader should rent where another controller leads."""
+        """Size the shard's fleet if a sizing is due: abandon machines and rent others.
+
+        The leader rents the machines itself; any other controller returns the requests to be sent
+        to the leader.
+        """
         now = self.context.now
         if not self.registry.machine_types:
             return []
@@ -65,23 +73,27 @@
         return machine_requests
 
     def confirm_unreachable_gone(self, shard: Shard) -> None:
-        """As the leader, have machines released that do not answer after a failover."""
+        """As the leader, request the release of machines that are unreachable after a failover."""
         self.abandoner.confirm_unreachable_gone(shard)
 
     def _wait_s(self, last_at: float, interval_s: float) -> float:
-        """From the last sizing to the next. A partly filled rental is followed at once by one of
-        the next offer."""
+        """Return the seconds to wait from the last sizing to the next.
+
+        The wait is shorter if the cloud has answered a rental request since the last sizing, so
+        that a partly filled request is soon followed by a request for the next offer.
+        """
         if self.provider.rentals_answered_at > last_at:
             return interval_s * SIZING_TIME_SHARE / SIZING_TIME_SHARE_AFTER_RESPONSE
         return interval_s
 
     def _next_interval_s(self, took_s: float) -> float:
+        """Return the sizing interval in seconds, given how long the last sizing took."""
         boot_s = _shortest_boot_s(self.registry.machine_types)
-        spaced_s = min(took_s / SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOTS * boot_s)
-        return max(SIZING_INTERVAL_SECONDS, spaced_s)
+        interval_s = min(took_s / SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOT_TIMES * boot_s)
+        return max(SIZING_INTERVAL_SECONDS, interval_s)
 
     def _resize(self, shard: Shard, leading: bool, elapsed_s: float) -> list[MachineRequest]:
-        self.abandoner.abandon_useless(shard)
+        self.abandoner.abandon_unusable(shard)
         if not self._is_work_known(shard):
             return []
         plan = self._plan_size(shard, elapsed_s)
@@ -96,19 +108,23 @@
         ]
 
     def _is_work_known(self, shard: Shard) -> bool:
-        """After a failover, what runs, and what has completed but is not yet durable, comes with
-        the machines' heartbeats. Taken for waiting, it once had 300 machines rented at once."""
+        """Return whether the owner knows which of the shard's tasks still have to run.
+
+        After a failover, running tasks, and completed tasks whose completion is not durable yet,
+        become known only through the machines' heartbeats. When such tasks were counted as
+        waiting, 300 machines were rented at once.
+        """
         if not shard.progress_loaded:
             return False
         if not shard.acquired_by_failover:
             return True
         timing = self.context.timing
-        unknown_s = (
+        work_unknown_s = (
             timing.lease_s
             if shard.unreconciled
-            else UNKNOWN_WORK_HEARTBEATS * timing.heartbeat_interval_s
+            else WORK_UNKNOWN_HEARTBEATS * timing.heartbeat_interval_s
         )
-        return self.context.now >= shard.acquired_at + unknown_s
+        return self.context.now >= shard.acquired_at + work_unknown_s
 
     def _plan_size(self, shard: Shard, elapsed_s: float) -> SizingPlan:
         machine_types = self.provider.machine_types or self.registry.machine_types
@@ -125,12 +141,13 @@
             self.provider.refused_offers(),
             operators.drain_boots,
             operators.idle_boots,
-            (operators.machines_max or UNBOUNDED_MACHINES) - len(supply),
+            (operators.machines_max or DEFAULT_MAX_MACHINES) - len(supply),
         )
 
     def _measure_supply(
         self, shard: Shard, machine_types: dict[str, MachineType]
     ) -> list[SupplyUnit]:
+        """Return the machines that the shard has, has requested, or is being given."""
         rentals = self.provider.pending_rentals(shard.shard_id)
         adding = self.writer.machines_being_added(shard.shard_id)
         return (
@@ -141,6 +158,7 @@
 
 
 def _shortest_boot_s(machine_types: dict[str, MachineType]) -> float:
+    """Return the shortest boot time of all types, in seconds, or the default without any type."""
     return min(
         (machine_type.boot_s for machine_type in machine_types.values()),
         default=DEFAULT_BOOT_SECONDS,
--- a/fallpulley/fleet/catalog.py
+++ b/fallpulley/fleet/catalog.py
@@ -1,4 +1,4 @@
-"""The cloud's machine types: fetched by the leader, and recorded for the other controllers."""
+"""The cloud's machine types: fetched by the leader and recorded for the other controllers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 from fallpulley.state.transactions import Change, RequestPriority, Write, ignore_result
 from fallpulley.state.watch_cache import WatchCache
 
-CATALOG_INTERVAL_SECONDS = 20.0  # prices move slowly; the types do not
+# Time between two fetches of the catalog, in seconds: prices change slowly, types hardly ever.
+CATALOG_INTERVAL_SECONDS = 20.0
+# Time until the next attempt after a failed fetch, in seconds.
 CATALOG_RETRY_SECONDS = 1.0
 
 
@@ -31,12 +33,12 @@
         self.watch = watch
         self.registry = registry
         self.cloud = cloud
-        # By name, with today's prices; empty until the cloud has responded.
+        # Machine types by name, with current prices; empty until the cloud has responded.
         self.machine_types: dict[str, MachineType] = {}
         self._next_fetch_at = float("-inf")
 
     def tick(self) -> None:
-        """Fetch the catalog where it is time."""
+        """Fetch the catalog if a fetch is due."""
         if self.context.now < self._next_fetch_at:
             return
         if self.cloud.call("GET", "/catalog", None, self._on_response):
@@ -54,8 +56,10 @@
             self._record(catalog)
 
     def _record(self, catalog: Catalog) -> None:
-        """Other controllers size their shards by the recorded types. Prices move all the time: they
-        alone are no reason to write."""
+        """Record the catalog, by which the other controllers size their shards.
+
+        Called only when something other than prices has changed, as prices change all the time.
+        """
         self.context.state_client.write(
             Write(
                 {CATALOG_KEY: self.watch.mod_revision(CATALOG_KEY)},
@@ -67,6 +71,7 @@
 
 
 def _without_prices(machine_types: dict[str, MachineType]) -> dict[str, tuple[object, ...]]:
+    """Return the properties of each type that are compared to detect a changed catalog."""
     return {
         name: (
             machine_type.cpus,
--- a/fallpulley/fleet/cloud.py
+++ b/fallpulley/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud's API, within the rate that it allows."""
+"""Rate-limited calls to the cloud's API."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_SECONDS = 3.0
-# Of the rate that the cloud allows, what is used.
+# Share of the call rate allowed by the cloud (`facts.cloud.rps`) that is used.
 USED_RATE_SHARE = 0.9
 
 
 class CloudClient:
-    """Sends calls to the cloud while the budget allows them."""
+    """Sends calls to the cloud as long as the budget has tokens for them."""
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
@@ -27,7 +27,7 @@
     def call(
         self, method: str, path: str, body: bytes | None, on_response: ResponseHandler
     ) -> bool:
-        """Send a call; False where the budget has no token for it, and nothing was sent."""
+        """Send a call; return False, with nothing sent, if the budget has no token for it."""
         if self.budget.tokens < 1:
             return False
         self.budget.tokens -= 1
@@ -43,7 +43,7 @@
 
 
 def decode_ok(response: Response, expected: type[T]) -> T | None:
-    """The decoded body of a successful response; None: it failed or its body is malformed."""
+    """Return the decoded body, or None if the call failed or the body is malformed."""
     if not response.ok:
         return None
     try:
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -1,4 +1,4 @@
-"""The work of a shard that its fleet is sized by."""
+"""Demand of a shard: the queued and running work that its fleet is sized for."""
 
 from __future__ import annotations
 
@@ -10,25 +10,29 @@
 from fallpulley.placement.queue import URGENT_PRIORITY_LEVEL
 from fallpulley.shards.shard import Shard
 
-# An enum's member costs more to look up than a module's constant, and this runs for every job.
+# Module constants, as looking up a member of an enum costs more and `demand_groups` compares the
+# kind of every job.
 SERVICE, GANG = JobKind.SERVICE, JobKind.GANG
 
 
 def demand_groups(
     shard: Shard, machine_types: dict[str, MachineType], now: float, drain_s: float
 ) -> list[DemandGroup]:
-    """Queued and running work by the machines it may use. `drain_s`: the seconds in which work is
-    to drain, at most counted for each task of a service."""
+    """Group the shard's queued and running work by the machines that it may use.
+
+    `drain_s` is the time in seconds in which all work should be completed. A task of a service,
+    which has no end, counts with at most this run time.
+    """
     groups: dict[DemandKey, DemandGroup] = {}
     for job in shard.jobs.values():
         if job.cancelled or job.finished or job.waits_for_dependencies:
-            continue  # machines rented for what cannot start yet would stand idle
+            continue  # machines rented for jobs that cannot start yet would be idle
         spec = job.spec
         cpus_per_task = _cached_cpus_per_task(job, machine_types)
-        key = _key_of(job)
+        key = _demand_key(job)
         group = groups.get(key)
         if group is None:
-            group = groups[key] = DemandGroup.of_key(key)
+            group = groups[key] = DemandGroup.from_key(key)
         group.work += _remaining_work(shard, job, cpus_per_task, now, drain_s)
         group.largest_task_cpus = max(group.largest_task_cpus, cpus_per_task)
         if spec.kind is GANG:
@@ -36,7 +40,7 @@
     return list(groups.values())
 
 
-def _key_of(job: OpenJob) -> DemandKey:
+def _demand_key(job: OpenJob) -> DemandKey:
     spec = job.spec
     type_names = tuple(sorted(spec.machine_types)) if spec.machine_types is not None else None
     urgent = job.priority_level >= URGENT_PRIORITY_LEVEL
@@ -46,10 +50,11 @@
 def _remaining_work(
     shard: Shard, job: OpenJob, cpus_per_task: float, now: float, drain_s: float
 ) -> float:
-    """What the job's waiting and running tasks have to do yet, in processor-seconds."""
+    """Return the remaining work of the job's waiting and running tasks, in processor-seconds."""
     estimate_s = shard.estimate_run_s(job)
     if job.spec.kind is SERVICE:
-        # Not work that drains: as much as occupies its own processors all the time.
+        # A service runs until it is cancelled. Limited to `drain_s`, its estimate stands for about
+        # the processors that its tasks occupy.
         estimate_s = min(estimate_s, drain_s)
     work = job.waiting_count() * estimate_s * cpus_per_task
     for run in job.runs.values():
@@ -59,7 +64,7 @@
 
 
 def _cached_cpus_per_task(job: OpenJob, machine_types: dict[str, MachineType]) -> float:
-    """Computed once for each job and catalog."""
+    """Return the processors per task, computed once for each job and catalog."""
     if job.processors.machine_types is not machine_types:
         job.processors.machine_types = machine_types
         job.processors.per_task = _cpus_per_task(job, machine_types)
@@ -67,18 +72,24 @@
 
 
 def _cpus_per_task(job: OpenJob, machine_types: dict[str, MachineType]) -> float:
-    """A task's share of the machine on which it costs the least, in processors."""
-    cheapest: tuple[float, float] | None = None  # price per hour, processors
+    """Return how many processors a task takes up on the type on which it costs the least.
+
+    This is the task's largest share of any of the machine's resources, times its processors: a task
+    that needs half of the memory takes up half of the processors.
+    """
+    cheapest: tuple[float, float] | None = None  # (price per hour, processors) of a task
     for machine_type in machine_types.values():
         if job.spec.machine_types is not None and machine_type.name not in job.spec.machine_types:
             continue
         capacity = machine_type.capacity
-        if any(needed > there for needed, there in zip(job.resources, capacity, strict=True)):
+        if any(
+            needed > available for needed, available in zip(job.resources, capacity, strict=True)
+        ):
             continue
         share = max(
-            needed / there
-            for needed, there in zip(job.resources, capacity, strict=True)
-            if there > 0
+            needed / available
+            for needed, available in zip(job.resources, capacity, strict=True)
+            if available > 0
         )
         candidate = (machine_type.price_per_hour * share, share * machine_type.cpus)
         if cheapest is None or candidate < cheapest:
--- a/fallpulley/fleet/machine_list.py
+++ b/fallpulley/fleet/machine_list.py
@@ -9,18 +9,19 @@
 from fallpulley.effects import Response
 from fallpulley.fleet.cloud import CloudClient, decode_ok
 
-# Of the calls that the cloud allows, what lists may use: with thousands of machines one has many
-# pages, and rentals and releases go before it. A page after the first leaves a part of the calls
-# that are saved up.
-LIST_SHARE = 0.5
-LIST_RESERVE_SHARE = 0.3
-# Between the beginnings of two lists: this long, or this share of the list's lag if it is more.
+# Share of the call rate that lists may use: with thousands of machines a list has many pages, and
+# rentals and releases are more important.
+LIST_CALL_SHARE = 0.5
+# Share of the budget's capacity that each page after the first leaves for rentals and releases.
+PAGE_RESERVE_SHARE = 0.3
+# Least time between the starts of two lists: this many seconds, or this share of the list's lag if
+# that is longer.
 MIN_LIST_INTERVAL_SECONDS = 1.5
 LIST_INTERVAL_LAG_SHARE = 0.5
 
 
 class MachineListReader:
-    """Reads the list over and over, a page at a time as the budget allows."""
+    """Reads the list repeatedly, one page at a time as the budget allows."""
 
     def __init__(
         self,
@@ -28,33 +29,33 @@
         cloud: CloudClient,
         on_list_complete: Callable[[], None],
     ) -> None:
-        """`on_list_complete` is called after `machines` was replaced by a newer whole list."""
+        """Create a reader that calls `on_list_complete` after each replacement of `machines`."""
         self.context = context
         self.cloud = cloud
-        self.machines: dict[str, ListedMachine] = {}  # of the last whole list, by machine_id
+        self.machines: dict[str, ListedMachine] = {}  # of the last complete list, by machine_id
         self._on_list_complete = on_list_complete
         self._next_list_at = float("-inf")
-        self._list_began_at = float("-inf")
-        # What the pages of the list under way have shown; None: no list is under way.
+        self._list_started_at = float("-inf")
+        # Machines on the pages read so far of the current list; None: no list is being read.
         self._partial_list: dict[str, ListedMachine] | None = None
-        # The last machine of the page before the one that waits for the budget, empty for the
-        # first page; None: no page waits.
+        # Last machine of the previous page, if a page is waiting for a token of the budget. Empty:
+        # the first page is waiting; None: no page is waiting.
         self._page_after: str | None = None
 
     def abort(self) -> None:
-        """Drop the list that is under way."""
+        """Discard the list that is being read."""
         self._partial_list = self._page_after = None
 
     def tick(self) -> None:
-        """Begin the next list where it is time, and ask for the page that waits."""
+        """Start the next list if it is due; request the waiting page if the budget allows it."""
         now = self.context.now
         if now >= self._next_list_at and self._partial_list is None:
-            # Should this one fail, the next begins then.
+            # This is when the next list starts if this one fails.
             lag_s = self.context.settings.facts.cloud.list_lag_s
             self._next_list_at = now + max(
                 MIN_LIST_INTERVAL_SECONDS, LIST_INTERVAL_LAG_SHARE * lag_s
             )
-            self._list_began_at = now
+            self._list_started_at = now
             self._partial_list = {}
             self._page_after = ""
         if self._page_after is not None and self._may_request_page(self._page_after):
@@ -62,10 +63,13 @@
             self._request_page(after)
 
     def _may_request_page(self, after: str) -> bool:
-        """A list once begun comes to its end, however many pages it has and whatever else is
-        asked of the cloud meanwhile."""
+        """Return whether the budget allows a page after the given machine (empty: the first page).
+
+        The tokens required never exceed the budget's capacity, so that a started list is always
+        completed, however many pages it has and whatever other calls are made meanwhile.
+        """
         budget = self.cloud.budget
-        reserve = LIST_RESERVE_SHARE * budget.capacity if after else 0.0
+        reserve = PAGE_RESERVE_SHARE * budget.capacity if after else 0.0
         return budget.tokens >= min(budget.capacity, 1 + reserve)
 
     def _request_page(self, after: str) -> None:
@@ -86,8 +90,11 @@
         self._publish(self._partial_list)
 
     def _publish(self, machines: dict[str, ListedMachine]) -> None:
+        """Replace the complete list; delay the next one to keep within `LIST_CALL_SHARE`."""
         self.machines, self._partial_list = machines, None
         page_count = len(machines) // LIST_PAGE_SIZE + 1
-        spaced_at = self._list_began_at + page_count / (LIST_SHARE * self.cloud.budget.rate)
-        self._next_list_at = max(self._next_list_at, spaced_at)
+        earliest_next_at = self._list_started_at + page_count / (
+            LIST_CALL_SHARE * self.cloud.budget.rate
+        )
+        self._next_list_at = max(self._next_list_at, earliest_next_at)
         self._on_list_complete()
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -1,4 +1,4 @@
-"""The machine provider: what a controller does with the cloud while it leads."""
+"""The machine provider: the leader's use of the cloud."""
 
 from __future__ import annotations
 
@@ -22,8 +22,10 @@
 
 
 class MachineProvider:
-    """Machine types, the list of machines, scale out, scale in and adoption, behind one interface.
-    All of them share one budget of calls."""
+    """One interface to machine types, the list of machines, scale out, scale in and adoption.
+
+    All of them share one budget of calls to the cloud.
+    """
 
     def __init__(
         self,
@@ -34,8 +36,12 @@
         action_guard: Callable[[], ActionGuard],
         shard_for_rental: Callable[[str], str],
     ) -> None:
-        """`action_guard`: what has to permit actions on machines, asked for at each action.
-        `shard_for_rental`: the shard that gets machines rented for the one named."""
+        """Create a provider and its parts.
+
+        `action_guard` returns the guard that has to permit an action on machines; it is called for
+        each action. `shard_for_rental` returns the shard that receives the machines rented for the
+        given shard.
+        """
         self.context = context
         self.writer = writer
         self.cloud = CloudClient(context)
@@ -65,8 +71,11 @@
         self._term = 0
 
     def tick(self, term: int) -> None:
-        """Send the calls that are due. `term`: the fencing token of our leadership; only called
-        while it certainly lasts."""
+        """Send the calls that are due.
+
+        `term` is the fencing token of this controller's leadership. Only call this while the
+        leadership certainly lasts.
+        """
         if term != self._term:
             self._term = term
             self.rentals.begin_term(term)
@@ -94,14 +103,14 @@
 
     @property
     def listed_machines(self) -> dict[str, ListedMachine]:
-        """The machines of the cloud's last whole list, by machine_id."""
+        """The machines of the cloud's last complete list, by machine_id."""
         return self.list_reader.machines
 
-    # -- shards that get machines ----------------------------------------------------------
+    # -- shards that receive machines ------------------------------------------------------
 
     @property
     def target_sizes(self) -> dict[str, int]:
-        """Machines that each shard should have, as the leader decides; empty: no targets."""
+        """Target number of machines of each shard, set by the leader; empty: no targets."""
         return self.shard_choice.target_sizes
 
     @target_sizes.setter
@@ -111,41 +120,43 @@
     def adopt(
         self, machine_id: str, address: str, machine_type: str, zone: str, spot: bool
     ) -> bool:
-        """Add a machine that the cloud lists and no record knows to a shard; False where it must
-        not or can't be."""
+        """Add a machine that the cloud lists but no record contains to a shard.
+
+        Returns False if the machine may not be adopted or no shard has room.
+        """
         return self.adoption.adopt(machine_id, MachineEntry(address, machine_type, zone, spot))
 
     # -- scale out -------------------------------------------------------------------------
 
     @property
     def rentals_answered_at(self) -> float:
-        """When the cloud last answered a rental request, by the steady clock."""
+        """When the cloud last answered a rental request, in seconds of the monotonic clock."""
         return self.rentals.answered_at
 
     def refused_offers(self) -> set[Offer]:
-        """Offers not to be asked for at present."""
+        """Return the offers that were refused recently and are not to be requested yet."""
         return self.rentals.refused_offers()
 
     def pending_rentals(self, shard_id: str) -> list[RentalRequest]:
-        """Requests made for a shard that the cloud has not answered for good."""
+        """Return the shard's requests that the cloud has neither filled nor refused."""
         return self.rentals.pending_of(shard_id)
 
     def scale_out(self, shard_id: str, offer: Offer, count: int) -> None:
-        """Rent machines for a shard, with one request for an offer at a time."""
+        """Rent machines for a shard, with at most one pending request per offer."""
         self.rentals.scale_out(shard_id, offer, count)
 
     def resume_rental(self, request: RentalRequest, shard_id: str) -> None:
-        """Repeat a recorded request that may not have been answered."""
+        """Repeat a recorded request that may not have been answered yet."""
         self.rentals.resume(request, shard_id)
 
     # -- scale in --------------------------------------------------------------------------
 
     @property
     def release_requested(self) -> set[str]:
-        """Machines to be released whatever records say. Others add to it and discard from it."""
+        """Machines to be released regardless of records. Callers may add and discard machines."""
         return self.releases.requested
 
     @property
     def released_at(self) -> dict[str, float]:
-        """When the cloud confirmed that a machine is gone, by machine_id and the steady clock."""
+        """When the cloud confirmed each release (monotonic seconds), by machine_id."""
         return self.releases.released_at
--- a/fallpulley/fleet/refusals.py
+++ b/fallpulley/fleet/refusals.py
@@ -1,4 +1,4 @@
-"""Offers that the cloud has refused: left alone for a while, longer each time."""
+"""Exponential back-off for offers that the cloud has refused."""
 
 from __future__ import annotations
 
@@ -6,35 +6,36 @@
 
 from fallpulley.cloud.offer import Offer
 
-# A refused offer is asked for again after this share of the type's boot time, doubling up to the
-# other: what a wave of preemptions took is often to be had again within a boot time.
-REFUSAL_BACKOFF_BOOTS = 0.25
-MAX_REFUSAL_BACKOFF_BOOTS = 0.4
+# Back-off after the first refusal of an offer, as a share of the type's boot time. It doubles with
+# each further refusal up to the maximum, which is short because capacity that was lost in a wave of
+# preemptions is often available again within a boot time.
+INITIAL_BACKOFF_BOOT_TIMES = 0.25
+MAX_BACKOFF_BOOT_TIMES = 0.4
 
 
 class _Backoff(NamedTuple):
-    until: float  # by the steady clock
+    until: float  # in seconds of the monotonic clock
     wait_s: float
 
 
 class RefusedOffers:
-    """The back-off of each offer since the cloud last had it in full."""
+    """Tracks the back-off of each offer that was refused and not filled completely since."""
 
     def __init__(self) -> None:
         self._backoffs: dict[Offer, _Backoff] = {}
 
     def current(self, now: float) -> set[Offer]:
-        """Offers not to be asked for at present."""
+        """Return the offers whose back-off has not ended yet."""
         return {offer for offer, backoff in self._backoffs.items() if backoff.until > now}
 
     def on_refused(self, offer: Offer, boot_s: float, now: float) -> float:
-        """Leave the offer alone from now on; returns for how many seconds."""
+        """Start or prolong the back-off of the offer; return its length in seconds."""
         last = self._backoffs.get(offer)
-        last_wait_s = 0.5 * REFUSAL_BACKOFF_BOOTS * boot_s if last is None else last.wait_s
-        wait_s = min(2 * last_wait_s, MAX_REFUSAL_BACKOFF_BOOTS * boot_s)
+        last_wait_s = 0.5 * INITIAL_BACKOFF_BOOT_TIMES * boot_s if last is None else last.wait_s
+        wait_s = min(2 * last_wait_s, MAX_BACKOFF_BOOT_TIMES * boot_s)
         self._backoffs[offer] = _Backoff(now + wait_s, wait_s)
         return wait_s
 
     def on_filled(self, offer: Offer) -> None:
-        """The cloud had all machines that were asked for: begin anew with the next refusal."""
+        """End the back-off: the cloud has granted all machines that were requested."""
         self._backoffs.pop(offer, None)
--- a/fallpulley/fleet/releases.py
+++ b/fallpulley/fleet/releases.py
@@ -1,4 +1,4 @@
-"""Scale in: machines released to the cloud, and the records that ask for it."""
+"""Scale in: release of machines to the cloud, and deletion of the release records."""
 
 from __future__ import annotations
 
@@ -18,12 +18,15 @@
 
 log = logging.getLogger(__name__)
 
+# Time until the next attempt after a failed release call, in seconds.
 RELEASE_RETRY_SECONDS = 0.5
 
 
 class Releases:
-    """Releases the machines that records name, and those requested here; deletes the records once
-    all their machines are gone. One call at a time."""
+    """Releases the machines in release records and those requested directly.
+
+    Deletes a record once all of its machines are released. Sends one call at a time.
+    """
 
     def __init__(
         self,
@@ -37,25 +40,25 @@
         self.watch = watch
         self.registry = registry
         self.cloud = cloud
-        self.requested: set[str] = set()  # to be released, whatever records say
-        # When the cloud confirmed that a machine is gone, by machine_id.
+        self.requested: set[str] = set()  # machines to be released regardless of records
+        # When the cloud confirmed each release, by machine_id, in seconds of the monotonic clock.
         self.released_at: dict[str, float] = {}
         self.next_attempt_at = float("-inf")
         self._action_guard = action_guard
         self._records_being_deleted: set[str] = set()
 
     def request(self, machine_id: str) -> None:
-        """Release a machine, though it may have been released before."""
+        """Request the release of a machine, even if it was released before."""
         self.released_at.pop(machine_id, None)
         self.requested.add(machine_id)
 
     def tick(self) -> None:
-        """Send the next release, if there is any."""
+        """Send the next release call if there are machines to release."""
         now = self.context.now
         if now < self.next_attempt_at:
             return
-        due = self._due()
-        machine_ids = self._action_guard().next_release_batch(due[:MAX_RELEASED_MACHINES])
+        to_release = self._machines_to_release()
+        machine_ids = self._action_guard().next_release_batch(to_release[:MAX_RELEASED_MACHINES])
         if not machine_ids:
             return
 
@@ -66,7 +69,8 @@
         if self.cloud.call("POST", "/rentals/release", body, on_response):
             self.next_attempt_at = now + CALL_TIMEOUT_SECONDS + RELEASE_RETRY_SECONDS
 
-    def _due(self) -> list[str]:
+    def _machines_to_release(self) -> list[str]:
+        """Return the machines to release: those in release records first, then requested ones."""
         recorded = self.registry.release_records
         machine_ids = [
             machine_id
@@ -97,7 +101,7 @@
     def _delete_record(self, key: str) -> None:
         conditions = self._action_guard().cleanup_conditions()
         if conditions is None:
-            return  # the record stays; its machines are released once more
+            return  # the record stays, so its machines will be released again
         self._records_being_deleted.add(key)
 
         def on_result(result: WriteResult) -> None:
--- a/fallpulley/fleet/rentals.py
+++ b/fallpulley/fleet/rentals.py
@@ -1,4 +1,4 @@
-"""Scale out: rental requests to the cloud, and machines granted to shards."""
+"""Scale out: rental requests to the cloud; rented machines are added to shards."""
 
 from __future__ import annotations
 
@@ -30,20 +30,21 @@
 
 log = logging.getLogger(__name__)
 
+# Time from a response to the next attempt of the same request, in seconds.
 RENTAL_RETRY_SECONDS = 1.0
-# What the body of a refusal says where the cloud has no such machines at present.
+# Text in the body of a refusal if the cloud has no such machines at present.
 NO_CAPACITY = b"no capacity"
 
 
 class PendingRental(NamedTuple):
-    """A request that the cloud has not answered for good."""
+    """A request that the cloud has neither filled, even in part, nor refused."""
 
     request: RentalRequest
-    shard_id: str  # that it was made for
+    shard_id: str  # the shard that the request was made for
 
 
 class Rentals:
-    """Rental requests of this controller as the leader, each repeated until it is answered."""
+    """Sends the leader's rental requests and repeats each one until it is filled or refused."""
 
     def __init__(
         self,
@@ -68,55 +69,65 @@
         self._action_guard = action_guard
         self._refused_offers = RefusedOffers()
         self._term = 0
-        self._request_count = 0  # in this term
+        self._request_count = 0  # requests created in this term
         self._in_flight: set[str] = set()
-        self._retry_at: dict[str, float] = {}
+        self._retry_at: dict[str, float] = {}  # time of the next attempt, by request_id
 
     def begin_term(self, term: int) -> None:
-        """This controller leads with a new term. Requests of an earlier term keep their ids; a new
-        term never uses them."""
+        """Start a new term of leadership without pending requests.
+
+        Requests of earlier terms keep their ids, which no new request ever gets.
+        """
         self._term = term
         self._request_count = 0
         self.pending.clear()
 
     def tick(self) -> None:
-        """Send the requests that are neither in flight nor waiting for their next attempt."""
+        """Send all pending requests that are not in flight and whose next attempt is due."""
         now = self.context.now
         for request_id in list(self.pending):
             if request_id not in self._in_flight and now >= self._retry_at.get(request_id, 0.0):
                 self._send(request_id)
 
     def refused_offers(self) -> set[Offer]:
-        """Offers not to be asked for at present."""
+        """Return the offers that were refused recently and are not to be requested yet."""
         return self._refused_offers.current(self.context.now)
 
     def pending_of(self, shard_id: str) -> list[RentalRequest]:
-        """Requests made for a shard that the cloud has not answered for good."""
+        """Return the shard's requests that the cloud has neither filled nor refused."""
         return [
             pending.request for pending in self.pending.values() if pending.shard_id == shard_id
         ]
 
     def scale_out(self, shard_id: str, offer: Offer, count: int) -> None:
-        """Ask for machines, unless the offer was refused lately or the shard has a request for it
-        already. At most `MAX_RENTED_MACHINES` at a time."""
+        """Request up to `MAX_RENTED_MACHINES` machines of an offer for a shard.
+
+        Does nothing if the offer was refused recently or the shard has a pending request for it.
+        """
         if offer in self.refused_offers():
             return
         for request in self.pending_of(shard_id):
             if request.offer == offer:
                 return
         self._request_count += 1
-        # The term is the revision of the leader's record, so no other leader, nor we in another
-        # term or process, can make this id again.
+        # The term is the revision of the leader's record, so no other leader, and no other term or
+        # process of this controller, can create the same id.
         request_id = f"hire-{self._term}-{self._request_count}"
         request = RentalRequest(request_id, *offer, min(count, MAX_RENTED_MACHINES))
         self.pending[request_id] = PendingRental(request, shard_id)
         self._send(request_id)
 
     def resume(self, request: RentalRequest, shard_id: str) -> None:
-        """Repeat a request that was recorded, by us or by a predecessor, and that may not have been
-        answered: the same id gets the same answer."""
+        """Repeat a recorded request of this or an earlier leader that may not have been answered.
+
+        The cloud gives the same response to a repeated id, so no machine is rented twice.
+        """
         if request.request_id not in self.pending:
-            log.info("rental resumed request=%s count=%d", request.request_id, request.count)
+            log.info(
+                "resuming recorded rental request request=%s count=%d",
+                request.request_id,
+                request.count,
+            )
             self.pending[request.request_id] = PendingRental(request, shard_id)
 
     def _send(self, request_id: str) -> None:
@@ -137,7 +148,7 @@
         self._retry_at[request.request_id] = now + RENTAL_RETRY_SECONDS
         self.answered_at = now
         if request.request_id not in self.pending:
-            # Sent before our last change of term: the machines are ours all the same.
+            # Sent in an earlier term: the machines are rented nevertheless, so they are added.
             if response.ok:
                 self._grant_machines(rental, response)
         elif response.ok:
@@ -152,11 +163,12 @@
             self._on_refused(request.offer)
 
     def _resolve(self, request_id: str) -> None:
+        """Drop a request that the cloud has filled or refused."""
         del self.pending[request_id]
         self._action_guard().on_rental_resolved(request_id)
 
     def _grant_machines(self, rental: PendingRental, response: Response) -> int:
-        """Add the rented machines to a shard; returns how many the cloud gave."""
+        """Add the rented machines to a shard; return how many the cloud granted."""
         request = rental.request
         answer = decode_ok(response, RentalResponse) or RentalResponse()
         shard_id = self.shard_choice.for_rental(rental.shard_id)
@@ -179,11 +191,12 @@
         return len(answer.machine_ids)
 
     def _on_refused(self, offer: Offer) -> None:
+        """Back off from an offer that the cloud has refused or filled only in part."""
         machine_type = self.catalog.machine_types.get(offer.machine_type)
         boot_s = machine_type.boot_s if machine_type is not None else DEFAULT_BOOT_SECONDS
         wait_s = self._refused_offers.on_refused(offer, boot_s, self.context.now)
         log.info(
-            "rental refused type=%s zone=%s spot=%s seconds=%.0f",
+            "rental refused or partly filled; backing off type=%s zone=%s spot=%s seconds=%.0f",
             offer.machine_type,
             offer.zone,
             offer.spot,
@@ -192,7 +205,7 @@
 
 
 def _is_refusal(response: Response) -> bool:
-    """The cloud has answered for good; any other failure is tried again."""
+    """Return whether the cloud has refused the request; after other failures it is retried."""
     return response.status == HTTPStatus.BAD_REQUEST or (
         response.status == HTTPStatus.SERVICE_UNAVAILABLE and NO_CAPACITY in response.body
     )
--- a/fallpulley/fleet/shard_choice.py
+++ b/fallpulley/fleet/shard_choice.py
@@ -1,4 +1,4 @@
-"""Which shard gets a machine that joins the fleet."""
+"""The choice of the shard that receives a machine joining the fleet."""
 
 from __future__ import annotations
 
@@ -9,21 +9,26 @@
 
 
 class ShardChoice:
-    """Chooses by the shards' target sizes, and by what extensions decide for rented machines."""
+    """Chooses shards by their target sizes; extensions may redirect rented machines."""
 
     def __init__(
         self, registry: Registry, writer: ShardWriter, shard_for_rental: Callable[[str], str]
     ) -> None:
-        """`shard_for_rental`: the shard that gets machines rented for the one named."""
+        """Create a chooser.
+
+        `shard_for_rental` returns the shard that receives the machines rented for the given shard.
+        """
         self.registry = registry
         self.writer = writer
-        # Machines that each shard should have, as the leader decides; empty: no targets.
+        # Target number of machines of each shard, set by the leader; empty: no targets.
         self.target_sizes: dict[str, int] = {}
         self._shard_for_rental = shard_for_rental
 
-    def for_unrecorded(self) -> str | None:
-        """The shard furthest below its target size, among those whose record has room for another
-        machine; None: there is none."""
+    def furthest_below_target(self) -> str | None:
+        """Return the shard furthest below its target size, or None if no shard has room.
+
+        Only shards whose record has room for another machine are considered.
+        """
         sizes = {
             shard_id: len(record.machines)
             for shard_id, (record, _) in self.registry.shards.items()
@@ -35,9 +40,12 @@
             default=None,
         )
 
-    def for_rental(self, asked_for: str) -> str:
-        """The shard that gets machines rented for `asked_for`, which may be gone by now."""
-        shard_id = self._shard_for_rental(asked_for)
+    def for_rental(self, requesting_shard: str) -> str:
+        """Return the shard that receives the machines rented for `requesting_shard`.
+
+        If that shard no longer exists, it is the one furthest below its target size.
+        """
+        shard_id = self._shard_for_rental(requesting_shard)
         if shard_id not in self.registry.shards:
-            shard_id = self.for_unrecorded() or shard_id
+            shard_id = self.furthest_below_target() or shard_id
         return shard_id
--- a/fallpulley/fleet/sizing.py
+++ b/fallpulley/fleet/sizing.py
@@ -1,8 +1,8 @@
-"""How many machines a shard should have: pure arithmetic on work, supply, types and prices.
+"""Fleet sizing: which machines to rent and release, given work, supply, types and prices.
 
-Queued and running work is to drain within a share of a machine's boot time: work that lasts
-longer would gain from a machine rented now. Groups of jobs that may use the same machines
-are served from the most to the least restricted.
+Pure arithmetic. There should be enough machines to complete all queued and running work within a
+given share of a boot time: work that lasts longer would finish earlier on a machine rented now.
+Groups of jobs that may use the same machines are served from the most to the least restricted.
 """
 
 from __future__ import annotations
@@ -15,52 +15,53 @@
 from fallpulley.cloud.messages import DEFAULT_BOOT_SECONDS, MAX_RENTED_MACHINES, MachineType
 from fallpulley.cloud.offer import Offer
 
-# Work of a high priority is to drain in this share of the time others may take.
-URGENT_DRAIN = 0.5
+# Time in which urgent work should be completed, as a share of the usual time.
+URGENT_DRAIN_SHARE = 0.5
 
-# While the cloud refuses what a group would rent first, capacity is scarce: what there is is
-# rented and kept for work that lasts this share of the usual time.
-SCARCE_DRAIN = 0.4
+# Time in which a group's work should be completed while the cloud refuses the group's cheapest
+# offer, as a share of the usual time. Capacity is scarce then, so more of what is available is
+# rented and kept.
+SCARCE_DRAIN_SHARE = 0.4
 
-# Offers whose prices differ by less than this ratio are equally cheap.
+# Offers whose prices per processor differ by at most this ratio count as equally cheap.
 EQUAL_PRICE_RATIO = 1.001
 
-# A missing part of a machine up to this size is not worth another one.
-MAX_MISSING_PART = 0.25
+# If at most this share of a machine is missing, no further machine is rented for it.
+MAX_UNRENTED_SHARE = 0.25
 
 
 class DemandKey(NamedTuple):
-    """Which machines work may use, and whether it is urgent."""
+    """The machines that a group's work may use, and whether the work is urgent."""
 
     allow_spot: bool
-    machine_types: tuple[str, ...] | None  # names, sorted; None: all
-    zone: str | None  # None: all
-    urgent: bool  # of a high priority
+    machine_types: tuple[str, ...] | None  # sorted names of types; None: all types
+    zone: str | None  # None: all zones
+    urgent: bool  # the work has a high priority
 
 
 class DemandGroup(msgspec.Struct):
-    """Work that may use the same machines; amounts in processor-seconds and processors."""
+    """Work of one shard that may use the same machines."""
 
     allow_spot: bool
     machine_types: tuple[str, ...] | None
     zone: str | None
-    work: float
-    largest_task_cpus: float  # processors of the widest task
-    largest_gang_cpus: float = 0.0  # processors that must be free together: a gang's
-    urgent: bool = False  # of a high priority
+    work: float  # in processor-seconds
+    largest_task_cpus: float  # processors of the largest task
+    largest_gang_cpus: float = 0.0  # processors of the largest gang, whose tasks start together
+    urgent: bool = False  # the work has a high priority
 
     @classmethod
-    def of_key(cls, key: DemandKey, work: float = 0.0) -> DemandGroup:
-        """A group with so much work and no tasks known."""
+    def from_key(cls, key: DemandKey, work: float = 0.0) -> DemandGroup:
+        """Create a group with the given work in processor-seconds and no known tasks."""
         return cls(key.allow_spot, key.machine_types, key.zone, work, 0.0, urgent=key.urgent)
 
     @property
     def key(self) -> DemandKey:
-        """What tells this group from the others of its shard."""
+        """The properties that distinguish this group from the others of its shard."""
         return DemandKey(self.allow_spot, self.machine_types, self.zone, self.urgent)
 
     def may_use(self, type_name: str, zone: str, spot: bool) -> bool:
-        """Whether the group's jobs allow such machines."""
+        """Return whether the group's jobs allow such machines."""
         return (
             (self.allow_spot or not spot)
             and (self.machine_types is None or type_name in self.machine_types)
@@ -69,50 +70,50 @@
 
 
 class SupplyUnit(msgspec.Struct):
-    """A machine that is there, or that is coming."""
+    """A machine that the shard has or is about to get."""
 
     machine_id: str
     machine_type: str
     zone: str
     spot: bool
     cpus: float
-    idle_s: float | None  # None: in use, or not up yet
+    idle_s: float | None  # seconds without tasks; None: in use or not online yet
 
 
-class ScaleOut(msgspec.Struct):
-    """Machines to be rented."""
+class PlannedRental(msgspec.Struct):
+    """A number of machines of one offer to be rented."""
 
     offer: Offer
     count: int
 
 
 class SizingPlan(msgspec.Struct):
-    """What a shard's fleet lacks, and what it has too much of."""
+    """The machines to rent for a shard and to release from it."""
 
-    scale_out: list[ScaleOut]
-    scale_in: list[str]  # machine_ids
+    scale_out: list[PlannedRental]
+    scale_in: list[str]  # machine_ids of idle machines to release
 
 
 class PricedOffer(NamedTuple):
-    """An offer by its price; sorted, the cheapest is first."""
+    """An offer with its price; tuples sort from the cheapest to the most expensive."""
 
-    price_per_cpu: float  # for an hour
+    price_per_cpu: float  # per processor and hour
     offer: Offer
 
 
 class Market(NamedTuple):
-    """What can be rented."""
+    """The machine types offered by the cloud, and the offers that it refuses."""
 
     machine_types: dict[str, MachineType]  # by name
-    refused_offers: set[Offer]  # not to be had at present
+    refused_offers: set[Offer]  # refused recently, not to be requested yet
 
     def boot_s(self, type_name: str) -> float:
-        """The boot time of a type, which may not be offered any more."""
+        """Return the boot time of a type in seconds, or the default if it is no longer offered."""
         machine_type = self.machine_types.get(type_name)
         return machine_type.boot_s if machine_type is not None else DEFAULT_BOOT_SECONDS
 
     def offers_for(self, group: DemandGroup) -> list[PricedOffer]:
-        """What could be rented for a group, cheapest per processor first, refused or not."""
+        """Return all offers that suit a group, refused or not, the cheapest per processor first."""
         found = []
         for machine_type in self.machine_types.values():
             cpus = machine_type.cpus
@@ -136,33 +137,38 @@
     idle_boots: float,
     max_new_machines: int,
 ) -> SizingPlan:
-    """What to rent and what to release.
+    """Return which machines to rent and which to release.
 
-    Work is to drain in `drain_boots` boot times; a machine is released that has been idle for
-    `idle_boots` of its own. `max_new_machines`: how many more may be rented at all.
+    All work should be completed within `drain_boots` boot times. A machine is released when it has
+    been idle for `idle_boots` boot times of its type and no group needs it. At most
+    `max_new_machines` are rented.
     """
     market = Market(machine_types, refused_offers)
-    scale_out: list[ScaleOut] = []
+    scale_out: list[PlannedRental] = []
     free_cpus = {machine.machine_id: machine.cpus for machine in supply}
-    for group in sorted(groups, key=_restricted_first):
+    for group in sorted(groups, key=_restriction_key):
         boot_s = _shortest_boot_s(group, machine_types)
         if boot_s is None:
-            continue  # no type fits
+            continue  # no machine type fits the group
         offers = market.offers_for(group)
         wanted = _wanted_cpus(group, drain_boots * boot_s, _is_scarce(offers, refused_offers))
         missing = _allocate_supply(group, wanted, supply, free_cpus)
         rentals = _rentals_for(missing, offers, market, max_new_machines)
         max_new_machines -= sum(rental.count for rental in rentals)
         scale_out += rentals
-    return SizingPlan(scale_out, _idle_too_long(supply, free_cpus, market, idle_boots))
+    return SizingPlan(scale_out, _machines_idle_too_long(supply, free_cpus, market, idle_boots))
 
 
-def _restricted_first(group: DemandGroup) -> tuple[bool, bool, bool]:
+def _restriction_key(group: DemandGroup) -> tuple[bool, bool, bool]:
+    """Return a sort key that puts groups with the most restrictions first."""
     return (group.allow_spot, group.machine_types is None, group.zone is None)
 
 
 def _shortest_boot_s(group: DemandGroup, machine_types: dict[str, MachineType]) -> float | None:
-    """Of the types that the group's widest task fits; None: there is none."""
+    """Return the shortest boot time of the types that fit the group, in seconds, or None.
+
+    None means that no allowed type has enough processors for the group's largest task.
+    """
     return min(
         (
             machine_type.boot_s
@@ -175,15 +181,18 @@
 
 
 def _is_scarce(offers: list[PricedOffer], refused_offers: set[Offer]) -> bool:
-    """The cloud refuses what would be rented first."""
+    """Return whether the cloud refuses the cheapest offer."""
     return bool(offers) and offers[0].offer in refused_offers
 
 
 def _wanted_cpus(group: DemandGroup, drain_s: float, scarce: bool) -> float:
-    """Processors on which the group's work drains in time, and its largest parts fit."""
-    drain_s = drain_s * (URGENT_DRAIN if group.urgent else 1.0)
+    """Return the processors that the group needs.
+
+    They are enough to complete its work in time, and to run its largest task and its largest gang.
+    """
+    drain_s = drain_s * (URGENT_DRAIN_SHARE if group.urgent else 1.0)
     if scarce:
-        drain_s *= SCARCE_DRAIN
+        drain_s *= SCARCE_DRAIN_SHARE
     wanted = group.work / max(1.0, drain_s)
     wanted = max(wanted, group.largest_task_cpus if group.work > 0 else 0.0)
     return max(wanted, group.largest_gang_cpus)
@@ -192,9 +201,12 @@
 def _allocate_supply(
     group: DemandGroup, wanted: float, supply: list[SupplyUnit], free_cpus: dict[str, float]
 ) -> float:
-    """Serve the group from the machines there are; returns the processors that are missing, none
-    of them if it is not above 0."""
-    # Machines that others cannot use come first, then the fullest: idle ones stay idle.
+    """Allocate free processors of the supply to the group, lowering `free_cpus`.
+
+    Returns the number of processors still missing; 0 or less means that none are.
+    """
+    # Spot machines come first, as some groups may not use them. Then machines that are in use,
+    # then the most recently idle: this way machines idle for long stay idle and can be released.
     usable = [
         machine
         for machine in supply
@@ -214,9 +226,11 @@
 
 def _rentals_for(
     missing_cpus: float, offers: list[PricedOffer], market: Market, max_new_machines: int
-) -> list[ScaleOut]:
-    """Spread the missing processors over the cheapest offers that are not refused: those of one
-    type in several zones, most often."""
+) -> list[PlannedRental]:
+    """Spread the missing processors evenly over the cheapest offers that are not refused.
+
+    These are usually the offers of one machine type in several zones.
+    """
     available = [priced for priced in offers if priced.offer not in market.refused_offers]
     if missing_cpus <= 0 or not available:
         return []
@@ -227,19 +241,22 @@
         cpus = market.machine_types[offer.machine_type].cpus
         share = missing_cpus / (len(cheapest) - index)
         count = min(
-            math.ceil(share / cpus - MAX_MISSING_PART), max_new_machines, MAX_RENTED_MACHINES
+            math.ceil(share / cpus - MAX_UNRENTED_SHARE), max_new_machines, MAX_RENTED_MACHINES
         )
         if count > 0:
-            rentals.append(ScaleOut(offer, count))
+            rentals.append(PlannedRental(offer, count))
             max_new_machines -= count
             missing_cpus -= count * cpus
     return rentals
 
 
-def _idle_too_long(
+def _machines_idle_too_long(
     supply: list[SupplyUnit], free_cpus: dict[str, float], market: Market, idle_boots: float
 ) -> list[str]:
-    """Machines of which no group needs a part: the usual price first, and of these the largest."""
+    """Return the machines to release: idle for long enough and not needed by any group.
+
+    On-demand machines come before spot machines, and larger ones before smaller ones.
+    """
     return [
         machine.machine_id
         for machine in sorted(supply, key=lambda machine: (machine.spot, -machine.cpus))
--- a/fallpulley/fleet/smoothing.py
+++ b/fallpulley/fleet/smoothing.py
@@ -1,46 +1,50 @@
-"""The level of a shard's work over about a boot time.
+"""Smoothing of a shard's demand over about one boot time.
 
-Jobs come in lumps that are over before a machine rented for them is up: what counts is the level
-of work, and backlogs far above it.
+Jobs often arrive in bursts that are over before a machine rented for them is online. The fleet is
+therefore sized for the moving average of the work, or for a part of the current work if that is
+far above the average.
 """
 
 from __future__ import annotations
 
 from fallpulley.fleet.sizing import DemandGroup, DemandKey
 
-# The level of work is smoothed over so many boot times.
-SMOOTH_BOOTS = 1.0
-# A backlog above the level counts at this share.
-BACKLOG_SHARE = 0.6
-# A level that has fallen to this many processor-seconds is no work any more.
-MIN_WORK_LEVEL = 1.0
+# Time constant of the moving average, in boot times.
+SMOOTHING_BOOT_TIMES = 1.0
+# Share of the current work that counts at least, however low the average is.
+MIN_CURRENT_WORK_SHARE = 0.6
+# An average that has fallen to this many processor-seconds counts as no work.
+MIN_AVERAGE_WORK = 1.0
 
 
 class DemandSmoother:
-    """Keeps the level of work of each shard's groups."""
+    """Keeps an exponential moving average of the work of each shard's groups."""
 
     def __init__(self) -> None:
-        self._levels: dict[str, dict[DemandKey, float]] = {}  # by shard_id, in processor-seconds
+        # Average work by shard_id and group, in processor-seconds.
+        self._averages: dict[str, dict[DemandKey, float]] = {}
 
     def smooth(
         self, shard_id: str, groups: list[DemandGroup], elapsed_s: float, boot_s: float
     ) -> list[DemandGroup]:
-        """The groups with their work smoothed, and those that have none now but had some lately.
-        `elapsed_s`: since the shard's last call. Changes the groups given."""
-        weight = min(1.0, elapsed_s / (SMOOTH_BOOTS * boot_s))
-        levels = self._levels.setdefault(shard_id, {})
+        """Replace the groups' work by smoothed values; return them and recently vanished groups.
+
+        The given groups are modified. `elapsed_s` is the time since the last call for this shard.
+        """
+        weight = min(1.0, elapsed_s / (SMOOTHING_BOOT_TIMES * boot_s))
+        averages = self._averages.setdefault(shard_id, {})
         present = set()
         for group in groups:
             key = group.key
             present.add(key)
-            level = levels.get(key, group.work)
-            level += weight * (group.work - level)
-            levels[key] = level
-            group.work = max(level, group.work * BACKLOG_SHARE)
-        recent = []
-        for key in levels:
+            average = averages.get(key, group.work)
+            average += weight * (group.work - average)
+            averages[key] = average
+            group.work = max(average, group.work * MIN_CURRENT_WORK_SHARE)
+        recently_vanished = []
+        for key in averages:
             if key not in present:
-                levels[key] *= 1 - weight
-                if levels[key] > MIN_WORK_LEVEL:
-                    recent.append(DemandGroup.of_key(key, levels[key]))
-        return groups + recent
+                averages[key] *= 1 - weight
+                if averages[key] > MIN_AVERAGE_WORK:
+                    recently_vanished.append(DemandGroup.from_key(key, averages[key]))
+        return groups + recently_vanished
--- a/fallpulley/fleet/supply.py
+++ b/fallpulley/fleet/supply.py
@@ -1,4 +1,4 @@
-"""The machines that a shard can count on: there, rented, or being added to its record."""
+"""Supply of a shard: its machines, those being rented and those being added to its record."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 
-# A machine that is not up after so many boot times is not counted on. Some take several times as
-# long, a few never come.
-LATE_BOOT_TIMES = 2.0
+# How long a new machine counts as supply without coming online, in boot times of its type. Some
+# machines take several boot times and a few never come online.
+COUNTED_BOOT_TIMES = 2.0
 
-# A machine whose heartbeats come but that has not heard us for so many heartbeats is not counted
-# on.
-UNACKNOWLEDGED_HEARTBEATS = 2.0
+# How long a machine that our responses do not reach still counts as supply while its heartbeats
+# arrive, in heartbeat intervals.
+MAX_UNACKNOWLEDGED_HEARTBEATS = 2.0
 
 
 def machine_supply(
     shard: Shard, machine_types: dict[str, MachineType], now: float
 ) -> list[SupplyUnit]:
-    """The machines of the shard's record that are up, or about to be."""
-    max_unacknowledged_s = UNACKNOWLEDGED_HEARTBEATS * shard.context.timing.heartbeat_interval_s
+    """Return the machines of the shard's record that are online or expected to come online."""
+    max_unacknowledged_s = MAX_UNACKNOWLEDGED_HEARTBEATS * shard.context.timing.heartbeat_interval_s
     supply = []
     for machine in shard.machines.values():
         machine_type = machine_types.get(machine.entry.machine_type)
@@ -50,13 +50,14 @@
 def _is_counted(
     machine: Machine, machine_type: MachineType, now: float, max_unacknowledged_s: float
 ) -> bool:
+    """Return whether the machine is online or booting, reachable, and not about to leave."""
     scale_in = machine.scale_in
     if scale_in.leaving_shard or scale_in.release_decided or scale_in.failed_in_cloud:
         return False
     if scale_in.preempted_at is not None:
         return False
     if not machine.heartbeat.ever_online:
-        if now - machine.granted_at > LATE_BOOT_TIMES * machine_type.boot_s:
+        if now - machine.granted_at > COUNTED_BOOT_TIMES * machine_type.boot_s:
             return False
     elif not machine.heartbeat.online:
         return False
@@ -69,7 +70,7 @@
 def rented_supply(
     requests: Iterable[RentalRequest], machine_types: dict[str, MachineType]
 ) -> list[SupplyUnit]:
-    """The machines of rental requests that the cloud has not answered."""
+    """Return the machines of rental requests that the cloud has neither filled nor refused."""
     supply = []
     for request in requests:
         machine_type = machine_types.get(request.machine_type)
@@ -92,7 +93,7 @@
 def added_supply(
     shard: Shard, adding: Mapping[str, MachineEntry], machine_types: dict[str, MachineType]
 ) -> list[SupplyUnit]:
-    """Machines granted to the shard, by machine_id, that are not in its record yet."""
+    """Return the machines being added to the shard (by machine_id) that it does not have yet."""
     supply = []
     for machine_id, entry in adding.items():
         machine_type = machine_types.get(entry.machine_type)
