--- a/fallpulley/balancing/__init__.py
+++ b/fallpulley/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""How many shards there are, how large each is, and the machines that move between them."""
+"""Shard balancing: target sizes of shards, moves of machines and hand-offs of shards."""
--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Planned changes of owner: machines between shards, shards from an owner without heartbeats."""
+"""Moves of machines between shards, and hand-offs of shards whose owner gets no heartbeats."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
 
 log = logging.getLogger(__name__)
 
-# An owner that gets no heartbeat for this share of its machines' lease hands its shard off.
+# Time without a heartbeat from any machine after which an owner hands its shard off, in worker
+# leases: less than one, so that the new owner can renew the leases in time.
 MAX_HEARTBEAT_GAP_LEASES = 0.4
-# Of a shard's machines, so many leave it at once for one below its target: one at a time, a shard
-# of thousands took most of an hour to be shared out.
+# Largest share of a shard's machines that is moved to another shard at once. When machines were
+# moved one at a time, spreading a shard of thousands of machines took most of an hour.
 MAX_MOVED_SHARE = 0.1
 
 
 class ShardBalancer:
-    """Keeps shards near their target sizes, and with owners that their machines reach."""
+    """Keeps shards near their target sizes, and owned by controllers that their machines reach."""
 
     def __init__(
         self,
@@ -48,10 +49,11 @@
         self.peers = peers
 
     def hand_off_if_unreached(self, shard: Shard) -> None:
-        """Hand a shard off to a peer when none of its machines reaches us any more.
+        """Hand a shard off to a peer if no machine's heartbeats have arrived recently.
 
-        The state service and the peer still reach us: machines may reach the peer, and if so in
-        time for their leases.
+        As this controller still reaches the state service and the peer, the fault may lie between
+        it and the machines. They may reach the peer in time to have their leases renewed. A shard
+        whose machines are all offline already is kept.
         """
         max_gap_s = MAX_HEARTBEAT_GAP_LEASES * self.context.timing.lease_s
         if self.context.now - shard.last_heartbeat_at < max_gap_s:
@@ -70,7 +72,7 @@
             self.leadership.hand_off(shard.shard_id, new_owner)
 
     def target_sizes(self) -> dict[str, int]:
-        """How many machines each shard should have; empty where there is one shard alone."""
+        """Return how many machines each shard should have; empty if there is only one shard."""
         shards = self.registry.shards
         if len(shards) < 2:
             return {}
@@ -79,7 +81,7 @@
         return target_sizes(work, machines, self.leadership.machines_per_shard)
 
     def rebalance(self, shards: dict[str, Shard]) -> None:
-        """Move idle machines of our shards above their targets to the one furthest below its."""
+        """Move idle machines from own shards above their target to the shard furthest below its."""
         targets = self.provider.target_sizes
         if not targets or not self.session.is_live():
             return
@@ -103,10 +105,11 @@
             self._move_idle_machines(shard, receiver, count)
 
     def _move_idle_machines(self, shard: Shard, receiver: str, count: int) -> None:
-        """Ask for up to `count` idle machines to be moved; none of them is placed on any more."""
+        """Request moves of up to `count` idle machines; no task is placed on them from now on."""
         idle = [machine for machine in shard.machines.values() if machine.usable and machine.empty]
-        # Spot machines first: jobs that may not use them go where the others are, and would find
-        # these scattered over shards, each with room that none of the others' jobs can have.
+        # Spot machines first: jobs that may not use spot machines need the on-demand ones, and if
+        # those were scattered over shards, each shard would have room that jobs of the other
+        # shards cannot use.
         idle.sort(
             key=lambda machine: (machine.entry.spot, machine.scale_in.idle_since or 0.0),
             reverse=True,
