--- a/fallpulley/shards/__init__.py
+++ b/fallpulley/shards/__init__.py
@@ -1,1 +1,1 @@
-"""Shards that this controller owns: their state, their machines' commands, and leases."""
+"""The shards that this controller owns: their state, commands to their machines, and leases."""
--- a/fallpulley/shards/adoption.py
+++ b/fallpulley/shards/adoption.py
@@ -1,4 +1,4 @@
-"""Adopts tasks that a machine runs and that this owner of its shard did not start."""
+"""Adoption of tasks that run on a machine but were not started by this owner of its shard."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 def adopt_task(shard: Shard, machine: Machine, status: TaskStatus) -> None:
-    """Keep a task that an open job still needs; any other is stopped with the next commands."""
+    """Record a task found on a machine as a run of its job, if an open job still needs it.
+
+    A task that is not adopted is stopped by the next commands to its machine.
+    """
     task = parse_task_id(status.task_id)
     job = shard.jobs.get(task.job_id) if task else None
     if task is None or job is None:
@@ -42,7 +45,11 @@
 
 
 def _is_needed(job: OpenJob, task: TaskId) -> bool:
-    """The job is to go on, and has neither completed the task nor an attempt of it elsewhere."""
+    """Return whether the job still needs an attempt of the task.
+
+    It does not if it is cancelled, has no task of this index, has completed the task, or already
+    has an attempt of it.
+    """
     return not (
         job.cancelled
         or task.task_index >= job.spec.task_count
--- a/fallpulley/shards/agent.py
+++ b/fallpulley/shards/agent.py
@@ -1,4 +1,4 @@
-"""All that acts on one shard that this controller owns."""
+"""The components that act on one shard that this controller owns."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from fallpulley.shards import job_stops
 from fallpulley.shards.commands import MachineCommands
 from fallpulley.shards.direct_commands import DirectCommands
-from fallpulley.shards.fencing import Fencing
+from fallpulley.shards.fencing_prober import FencingProber
 from fallpulley.shards.heartbeat_intake import HeartbeatIntake
 from fallpulley.shards.lease_expiry import LeaseExpiry
 from fallpulley.shards.shard import Shard
@@ -16,7 +16,7 @@
 
 
 class ShardAgent:
-    """Commands the shard's machines, applies what they send, and watches their leases."""
+    """Commands the machines of one shard, applies their heartbeats, and watches their leases."""
 
     def __init__(self, context: ControllerContext, shard: Shard) -> None:
         self.shard = shard
@@ -24,14 +24,14 @@
         self.commands = MachineCommands(context, shard, self.direct)
         self.lease_expiry = LeaseExpiry(context, shard)
         self.intake = HeartbeatIntake(context, shard, self.commands, self.lease_expiry)
-        self.fencing = Fencing(context, shard, self.direct)
+        self.fencing = FencingProber(context, shard, self.direct)
 
     def end_job(self, job: OpenJob, cancelled: bool) -> None:
-        """The job's record is final: none of its tasks may start or go on."""
+        """Stop all tasks of a job whose record is final, and start no more of them."""
         job_stops.end_job(self.shard, self.commands, job, cancelled)
 
     def stop_broken_gangs(self) -> None:
-        """Gangs that lost a task start anew, all of their tasks together."""
+        """Stop the remaining tasks of gangs that lost one, so that all of them restart together."""
         job_stops.stop_broken_gangs(self.shard, self.commands)
 
     def _on_direct_status(self, machine: Machine, status: Heartbeat) -> None:
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -1,4 +1,4 @@
-"""Which tasks the machines of a shard are to start, stop and forget."""
+"""Commands that start, stop and forget tasks on the machines of a shard."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
 
 log = logging.getLogger(__name__)
 
-# Read for every task or job: a member of an enum takes ten times as long to look up.
+# Bound to module names because they are read for every task or job: looking up a member of an
+# enum takes ten times as long.
 _GANG = JobKind.GANG
 _FORGET = Operation.FORGET
 _STOP = Operation.STOP
 _START = Operation.START
 
-# Constants, since enum members are looked up slowly: these are used for every task of a heartbeat.
-EXITED = TaskState.EXITED
-DONE = ExitReason.DONE
+# Bound for the same reason: they are read for every task of a heartbeat.
+_EXITED = TaskState.EXITED
+_DONE = ExitReason.DONE
 
 
 class MachineCommands:
-    """Commands for the machines of one shard, sent with responses to heartbeats or directly."""
+    """Makes the commands for one shard's machines, sent in heartbeat responses or directly."""
 
     def __init__(self, context: ControllerContext, shard: Shard, direct: DirectCommands) -> None:
         self.context = context
@@ -43,7 +44,10 @@
     def start(
         self, machine: Machine, job: OpenJob, booking: Booking, estimated_run_s: float
     ) -> TaskCommand | None:
-        """The command that starts a booked task; None where no attempt may be made now."""
+        """Record a new attempt of a booked task and return the command that starts it.
+
+        Returns None if no attempt number is available now.
+        """
         attempt = self._attempt_for(job)
         if attempt is None:
             return None
@@ -66,8 +70,11 @@
         return TaskCommand(_START, run.task_id, run.attempt)
 
     def stop(self, run: TaskRun, grace_period_s: float) -> None:
-        """Stop a task with the next response to its machine, and directly now if the machine can be
-        reached."""
+        """Stop an attempt, giving its task `grace_period_s` seconds to save its work.
+
+        The command is part of the next response to the machine's heartbeat. It is also sent
+        directly now if the machine has reported the attempt and its address is known.
+        """
         run.stop_grace_s = grace_period_s
         self.shard.decisions.task_stopped(run)
         machine = self.shard.machines.get(run.machine_id)
@@ -79,7 +86,7 @@
             self.direct.send(machine, [command])
 
     def preempt(self, machine_id: str, task_ids: list[str]) -> None:
-        """Stop tasks at once to make room: what they did since their last checkpoint is lost."""
+        """Stop tasks at once to make room; their work since the last checkpoint is lost."""
         machine = self.shard.machines[machine_id]
         machine.snapshot = None
         commands = []
@@ -93,10 +100,10 @@
             self.direct.send(machine, commands)
 
     def pending_commands(self, machine: Machine) -> list[TaskCommand]:
-        """What a machine is to forget and to stop, for the response to its heartbeat."""
+        """Return the forget and stop commands for the response to a machine's heartbeat."""
         commands: list[TaskCommand] = []
         for task_id, status in machine.tasks.items():
-            if status.state is EXITED:
+            if status.state is _EXITED:
                 if self._may_forget(status):
                     commands.append(TaskCommand(_FORGET, task_id, status.attempt))
                 continue
@@ -108,9 +115,9 @@
         return commands
 
     def _attempt_for(self, job: OpenJob) -> int | None:
-        """The attempt number of the job's next start; None where there is none to give out."""
+        """Return the attempt number for the job's next start; None if none is available."""
         if job.spec.kind is _GANG and job.runs:
-            # The tasks of a gang find each other by their common attempt.
+            # The tasks of a gang share one attempt number and find each other by it.
             return job.gang.attempt
         numbers = self.shard.attempt_numbers
         self.shard.needs_new_revision = self.shard.needs_new_revision or numbers.needs_new_revision
@@ -120,12 +127,13 @@
         return attempt
 
     def _may_forget(self, status: TaskStatus) -> bool:
-        """Whether a machine may forget an exited task: its completion is durable, or of no use.
+        """Return whether a machine may forget an exited task.
 
-        The start of an attempt is never commanded twice, so a forgotten one cannot begin again.
+        It may once the task's completion is durable or no longer of use. The start of an attempt is
+        never commanded twice, so a forgotten attempt cannot start again.
         """
         task = parse_task_id(status.task_id)
         job = self.shard.jobs.get(task.job_id) if task else None
-        if task is None or job is None or job.cancelled or status.exit_reason is not DONE:
+        if task is None or job is None or job.cancelled or status.exit_reason is not _DONE:
             return True
         return task.task_index < job.spec.task_count and job.is_durable(task.task_index)
--- a/fallpulley/shards/decisions.py
+++ b/fallpulley/shards/decisions.py
@@ -1,4 +1,4 @@
-"""The decisions of a shard's owner, for an extension that replicates them."""
+"""The interface through which an extension replicates the decisions of a shard's owner."""
 
 from __future__ import annotations
 
@@ -8,42 +8,48 @@
 
 
 class DecisionSink(Protocol):
-    """Receives an owner's decisions in the order in which they are made. Must not fail or wait."""
+    """Receives an owner's decisions in the order in which they are made.
+
+    Its methods must neither raise exceptions nor block.
+    """
 
     def task_started(self, run: TaskRun) -> None:
-        """An attempt was commanded to start, or one found on a machine was adopted."""
+        """Record that an attempt was commanded to start, or was adopted from a machine."""
 
     def task_stopped(self, run: TaskRun) -> None:
-        """An attempt is to stop: its machine is commanded to stop it."""
+        """Record that the machine of an attempt is commanded to stop it."""
 
     def task_gone(self, run: TaskRun, cause: str) -> None:
-        """An attempt has exited, or is confirmed gone from its machine; `cause`: the exit reason,
-        or `gone`."""
+        """Record that an attempt has exited or is confirmed gone from its machine.
+
+        `cause` is the exit reason of an attempt that has exited (empty if it reported none), and
+        `gone` otherwise.
+        """
 
     def run_time_learned(self, job_id: str, observed: int, observed_s: float) -> None:
-        """A job has so many completed tasks of known run time; `observed_s`: their sum."""
+        """Record that a job's `observed` completed tasks ran for `observed_s` seconds in total."""
 
     def class_correction_learned(self, job_class: str, factor: float) -> None:
-        """The factor on the estimates of a job class has changed."""
+        """Record the new factor on the run time estimates of a job class."""
 
     def machine_granted(self, machine_id: str) -> None:
-        """The machine was granted to the shard."""
+        """Record that the machine was granted to the shard."""
 
     def machine_occupancy_changed(self, machine_id: str, used: bool) -> None:
-        """The machine's occupancy flag in the record is to change: whether it may hold tasks."""
+        """Record that the flag for whether the machine may hold tasks is to change to `used`."""
 
     def machine_released(self, machine_id: str) -> None:
-        """The machine has left the shard."""
+        """Record that the machine has left the shard."""
 
     def machine_reachability_changed(self, machine_id: str, reachable: bool) -> None:
-        """The machine began to send heartbeats, or its lease has expired."""
+        """Record that the machine began to send heartbeats, or that its lease has expired."""
 
     def image_cached(self, machine_id: str, image: str, size_gb: float) -> None:
-        """The machine has an image, or fetches it."""
+        """Record that the machine has an image or is fetching it."""
 
 
-class IgnoredDecisions:
-    """Nobody replicates the decisions: each method of `DecisionSink` does nothing."""
+class NullDecisionSink:
+    """A `DecisionSink` that discards everything, for shards that no extension replicates."""
 
     def task_started(self, run: TaskRun) -> None: ...
 
@@ -66,4 +72,4 @@
     def image_cached(self, machine_id: str, image: str, size_gb: float) -> None: ...
 
 
-IGNORED_DECISIONS = IgnoredDecisions()
+NULL_DECISION_SINK = NullDecisionSink()
--- a/fallpulley/shards/direct_commands.py
+++ b/fallpulley/shards/direct_commands.py
@@ -1,4 +1,4 @@
-"""Commands to a machine at its own address, between its heartbeats."""
+"""Commands sent to a machine's own address, without waiting for its next heartbeat."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 from fallpulley.workers.machine_parts import NEVER
 from fallpulley.workers.messages import DirectCommand, Heartbeat, TaskCommand
 
-# A worker heeds a higher token only once in half a lease, so prompts need not come more often.
+# Minimum time between two prompts for a heartbeat, in leases: a worker reacts to a higher token
+# only once in half a lease.
 PROMPT_INTERVAL_LEASES = 0.5
-TIMEOUT_SECONDS = 1.5
-# A worker has carried the command out, or refused it as out of date: its state comes with both.
+TIMEOUT_SECONDS = 1.5  # for the response to a direct command
+# Statuses of responses that contain the worker's state: it has carried the command out (OK), or
+# has refused it as out of date (CONFLICT).
 WORKER_STATUSES: Final = (HTTPStatus.OK, HTTPStatus.CONFLICT)
 
 
 class DirectCommands:
-    """Sends commands to the machines of one shard, and takes the states that they respond with."""
+    """Sends commands to the machines of one shard, and receives their states in the responses."""
 
     def __init__(
         self,
@@ -31,8 +33,11 @@
         shard: Shard,
         on_machine_status: Callable[[Machine, Heartbeat], None],
     ) -> None:
-        """`on_machine_status` is called with a machine's state from the response to a command that
-        it has carried out."""
+        """Create a sender of commands.
+
+        `on_machine_status` is called with each machine that has carried out a command, and with
+        its state from the response.
+        """
         self.context = context
         self.shard = shard
         self._on_machine_status = on_machine_status
@@ -40,7 +45,9 @@
     def prompt_heartbeat(self, machine: Machine) -> None:
         """Make a machine with a booked task send a heartbeat now.
 
-        A higher token counts as a change, of which a worker sends a heartbeat at once.
+        This raises the machine's fencing token, a change that a worker reports by a heartbeat at
+        once. Does nothing if the machine was prompted less than half a lease ago, if its address
+        is unknown, or if its token cannot be raised further.
         """
         now = self.context.now
         interval_s = PROMPT_INTERVAL_LEASES * self.context.timing.lease_s
@@ -56,10 +63,10 @@
         commands: list[TaskCommand],
         on_status: Callable[[int | None], None] | None = None,
     ) -> None:
-        """Command a machine at its address.
+        """Send commands to a machine's address.
 
-        `on_status` is called with the status of the response before its content is applied; None:
-        there was no response.
+        `on_status` is called with the HTTP status of the response, or with None if there was no
+        response, before the state in the response is applied.
         """
 
         def on_outcome(response: Response) -> None:
@@ -75,20 +82,21 @@
         )
 
     def on_response(self, machine: Machine, response: Response) -> None:
-        """A machine has responded to a direct command, or has not in time."""
+        """Apply the response to a direct command, unless it is missing, invalid or out of date."""
         if response.status not in WORKER_STATUSES:
             return
         if self.shard.machines.get(machine.machine_id) is not machine:
-            return  # it has left the shard since
+            return  # the machine has left the shard since
         try:
             status = msgspec.json.decode(response.body, type=Heartbeat)
         except msgspec.MsgspecError:
             return
         if status.machine_id != machine.machine_id:
-            return  # its address belongs to another machine by now
+            return  # the address belongs to another machine by now
         if response.ok:
             self._on_machine_status(machine, status)
         elif not machine.fencing.fenced and status.agent_epoch > machine.heartbeat.agent_epoch:
-            # Refused because the command was for an older epoch: the next probe is for this one.
+            # The command was refused because it was for an older epoch. Send the next probe for the
+            # reported epoch, without delay.
             machine.heartbeat.agent_epoch = status.agent_epoch
             machine.fencing.next_probe_at = NEVER
--- a/fallpulley/shards/fencing.py
+++ b/fallpulley/shards/fencing_prober.py
@@ -1,6 +1,7 @@
-"""Brings a new owner's fencing token to the machines of a shard just acquired, by direct commands.
+"""Delivery of a new owner's fencing token to the machines of a shard that it has just acquired.
 
-The responses carry the machines' tasks, and reconcile them without waiting for heartbeats.
+The token is sent in probes, which are direct commands without task commands. The responses list the
+machines' tasks, so that machines are reconciled without waiting for their heartbeats.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 
-# Of this controller's sockets, the share that probes may use at once: a shard of thousands of
-# machines is probed in bursts that leave sockets and time for everybody else.
+# Share of this controller's sockets that probes may use at once. A shard may have thousands of
+# machines; the limit leaves sockets and processing time for everything else.
 SOCKET_SHARE = 0.04
-MIN_IN_FLIGHT = 8
-# A machine is probed again after so many heartbeat intervals.
+MIN_IN_FLIGHT = 8  # lower bound of the limit on probes in flight
+# Time between two probes of a machine, in heartbeat intervals.
 RETRY_INTERVALS = 0.5
 
 
-class Fencing:
-    """Probes machines in turn: those that do not respond never keep others from being probed."""
+class FencingProber:
+    """Probes machines in turn, so that unresponsive ones never keep others from being probed."""
 
     def __init__(self, context: ControllerContext, shard: Shard, direct: DirectCommands) -> None:
         self.context = context
@@ -29,13 +30,14 @@
         self.direct = direct
         sockets = context.settings.facts.machine_limits.sockets
         self.max_in_flight = max(MIN_IN_FLIGHT, int(SOCKET_SHARE * sockets))
-        self.in_flight = 0  # probes without an outcome yet
-        self._queue: deque[str] | None = None  # machines to probe, in order; made when first needed
+        self.in_flight = 0  # number of probes that have no outcome yet
+        # Machines to probe, in order; None until the first tick.
+        self._queue: deque[str] | None = None
 
     def tick(self, addresses: dict[str, str]) -> None:
-        """Probe the machines whose turn it is, as far as sockets allow.
+        """Probe the machines whose turn it is, up to the limit on probes in flight.
 
-        `addresses`, by machine_id, are newer than those in the record.
+        `addresses` maps machine_id to addresses that are newer than those in the record.
         """
         shard = self.shard
         if self._queue is None:
@@ -48,7 +50,8 @@
             machine_id = self._queue.popleft()
             machine = shard.machines.get(machine_id)
             if machine is None or machine_id not in shard.unreconciled or machine.fencing.fenced:
-                continue  # it has reported our token, or has left
+                # It is reconciled, has reported this owner's token, or has left the shard.
+                continue
             self._queue.append(machine_id)
             if not machine.entry.address and machine_id in addresses:
                 machine.entry = machine.entry.with_address(addresses[machine_id])
@@ -57,7 +60,7 @@
 
     def _may_probe(self, machine: Machine) -> bool:
         now = self.context.now
-        # The response to its own heartbeat carried our token: its next one reports it.
+        # The response to its last heartbeat carried this owner's token; the next one reports it.
         has_token = (
             now < machine.fencing.unfenced_heartbeat_at + self.context.timing.heartbeat_interval_s
         )
--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -1,4 +1,4 @@
-"""Applies newer states of a shard's machines: from heartbeats and responses to direct commands."""
+"""Updates of a shard by the states in its machines' heartbeats and direct command responses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HeartbeatIntake:
-    """Brings a shard up to date with what its machines send."""
+    """Applies the states that the machines of one shard send."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.task_changes = TaskChanges(context, shard)
 
     def handle_heartbeat(self, machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Apply a heartbeat; False when it is not newer than what is known."""
+        """Apply a heartbeat; return False if it is not newer than the newest state known."""
         if not machine.heartbeat.is_newer(heartbeat):
             return False
         if machine.is_unchanged(heartbeat):
@@ -57,9 +57,10 @@
         return True
 
     def handle_direct_status(self, machine: Machine, status: Heartbeat) -> None:
-        """Apply the response to a direct command, unless something newer is known.
+        """Apply the state from the response to a direct command, unless a newer one is known.
 
-        It shows what is on the machine, but not that the machine's own heartbeats reach us.
+        It shows which tasks are on the machine, but not that the machine's own heartbeats arrive,
+        so the machine does not become online by it.
         """
         if not machine.heartbeat.is_newer(status):
             return
@@ -87,7 +88,10 @@
         machine.heartbeat.received_at = self.shard.last_heartbeat_at = self.context.now
 
     def _apply_changes(self, machine: Machine, changes: HeartbeatChanges, was_usable: bool) -> None:
-        """`was_usable`: whether the machine was usable before it sent this."""
+        """Update the shard by the changes in a machine's tasks.
+
+        `was_usable` tells whether the machine was usable before this state was applied.
+        """
         if changes.start_missed and machine.fencing.unacknowledged_since is None:
             self.token_check.require_new_token(machine)
         self.task_changes.apply(machine, changes)
@@ -100,10 +104,12 @@
             stop_tasks_for_preemption(self.shard, self.commands, machine)
 
     def _set_reconciled(self, machine: Machine) -> None:
-        """All tasks of the machine are known."""
+        """Record that all tasks of the machine are known."""
         self.shard.unreconciled.discard(machine.machine_id)
         if not self.shard.unreconciled:
             log.info(
-                "shard reconciled shard=%s token=%d", self.shard.shard_id, self.shard.fencing_token
+                "all machines of the shard are reconciled shard=%s token=%d",
+                self.shard.shard_id,
+                self.shard.fencing_token,
             )
         self.shard.needs_replan = True
--- a/fallpulley/shards/job_stops.py
+++ b/fallpulley/shards/job_stops.py
@@ -1,4 +1,4 @@
-"""Stops whole jobs: those that have ended, and gangs that lost a task."""
+"""Stopping of all tasks of a job: of jobs that have ended, and of gangs that lost a task."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def end_job(shard: Shard, commands: MachineCommands, job: OpenJob, cancelled: bool) -> None:
-    """The job's record is final: none of its tasks may start or go on."""
+    """Stop all tasks of a job whose record is final, and start no more of them."""
     job.cancelled = True
     shard.needs_replan = True
     for run in list(job.runs.values()):
@@ -23,7 +23,7 @@
 
 
 def stop_broken_gangs(shard: Shard, commands: MachineCommands) -> None:
-    """Stop the remaining tasks of gangs that lost one, so that all of them start anew together."""
+    """Stop the remaining tasks of gangs that lost one, so that all of them restart together."""
     for job in shard.jobs.values():
         if not job.gang.restarting:
             continue
--- a/fallpulley/shards/lease_expiry.py
+++ b/fallpulley/shards/lease_expiry.py
@@ -1,4 +1,4 @@
-"""When the leases of machines expire, and what follows: they hold no tasks any more."""
+"""Expiry of machines' leases, after which they hold no tasks."""
 
 from __future__ import annotations
 
@@ -15,28 +15,33 @@
 class LeaseExpiry:
     """Watches the leases of one shard's machines.
 
-    A machine that left the shard may get responses of a new owner while we, cut off from the state
-    service, still serve the rest. Its lease has expired only if it did so before our last read of
-    the records, which showed the shard as ours.
+    A machine may have left the shard and have its lease renewed by another owner while this
+    controller is cut off from the state service and still serves the shard. So a lease counts as
+    expired only if it expired before the last read of the records, which showed the shard as owned
+    by this controller.
     """
 
     def __init__(self, context: ControllerContext, shard: Shard) -> None:
         self.context = context
         self.shard = shard
         self._watch = LeaseWatch()
-        # Previous owners may respond to their machines until their windows end; a machine that
-        # cannot be reached is empty a lease later.
+        # When machines that cannot be reached certainly hold no tasks: previous owners may respond
+        # to them until their response windows end, and the lease expires after that.
         self._unreachable_empty_at = (
             context.now + context.timing.response_window_s + context.timing.lease_expiry_s
         )
 
     def watch(self, machine: Machine) -> None:
-        """Check the machine once its lease may have expired."""
+        """Schedule a check of the machine for when its lease may have expired."""
         if machine.heartbeat.online or machine.runs:
             self._watch.watch(machine.machine_id, self._expires_at(machine))
 
     def expire(self, fresh_at: float) -> None:
-        """Act on all leases that have expired; `fresh_at`: when the records were last read."""
+        """Act on all leases that have expired.
+
+        `fresh_at` is when the last successful read of the records was sent, in seconds of the
+        monotonic clock.
+        """
         until = min(self.context.now, fresh_at)
         for machine_id in self._watch.pop_due(until):
             machine = self.shard.machines.get(machine_id)
@@ -50,7 +55,10 @@
             self._confirm_empty(until)
 
     def on_previous_owners_ended(self) -> None:
-        """The previous owners' processes have ended: they respond to nobody from now on."""
+        """Shorten the waits for leases, since the previous owners' processes have ended.
+
+        They respond to no machine from now on, so they renew no more leases.
+        """
         self._unreachable_empty_at = min(
             self._unreachable_empty_at, self.context.now + self.context.timing.lease_expiry_s
         )
@@ -59,28 +67,28 @@
             self.watch(machine)
 
     def _expires_at(self, machine: Machine) -> float:
-        # A heartbeat that is about to be responded to counts as responded: the response goes out
-        # after this check, and renews the lease.
-        last = max(machine.heartbeat.responded_at, machine.heartbeat.received_at)
-        expires_at = last + self.context.timing.lease_expiry_s
+        # A received heartbeat counts as responded to: the response goes out after this check and
+        # renews the lease.
+        last_renewed_at = max(machine.heartbeat.responded_at, machine.heartbeat.received_at)
+        expires_at = last_renewed_at + self.context.timing.lease_expiry_s
         if machine.heartbeat.online:
             return expires_at
-        # Its tasks are known from responses to direct commands alone, which renew no lease; a
-        # previous owner's responses may have.
+        # The machine's tasks are known only from responses to direct commands. Those renew no
+        # lease, but responses of a previous owner may have renewed it.
         return max(expires_at, self._unreachable_empty_at)
 
     def _on_expired(self, machine: Machine) -> None:
-        log.info("lease expired machine=%s", machine.machine_id)
+        log.info("machine lease expired machine=%s", machine.machine_id)
         machine.heartbeat.online = False
         machine.images.cached.clear()
         self.shard.decisions.machine_reachability_changed(machine.machine_id, False)
         self.shard.drop_runs(machine, "lease expired")
 
     def _confirm_empty(self, until: float) -> None:
-        """Machines that got no response for a lease hold no tasks.
+        """Mark unreconciled machines as holding no tasks if their leases have expired.
 
-        Previous owners respond to nobody any more, but our own responses renew leases too, even of
-        machines that have not reported our token since.
+        Previous owners respond to no machine any more. This owner's responses renew leases too,
+        even of machines that have not reported its token since.
         """
         lease_expiry_s = self.context.timing.lease_expiry_s
         empty = {
@@ -90,6 +98,8 @@
         }
         if not empty:
             return
-        log.info("machines confirmed empty shard=%s count=%d", self.shard.shard_id, len(empty))
+        log.info(
+            "machines confirmed to hold no tasks shard=%s count=%d", self.shard.shard_id, len(empty)
+        )
         self.shard.unreconciled -= empty
         self.shard.needs_replan = True
--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -1,4 +1,4 @@
-"""Keeps the occupancy flags in a shard's record up to date with what its owner knows."""
+"""Updates of the occupancy flags in shard records, by what the owner knows of the machines."""
 
 from __future__ import annotations
 
@@ -8,25 +8,29 @@
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 
-# Machines compared in one call of `update_all`: about a millisecond of a whole core.
+# How many machines one call of `update_all` compares, which takes a core about a millisecond.
 MAX_COMPARED_MACHINES = 1024
 
 
 class OccupancyFlags:
     """Compares the machines of owned shards with their flags, and requests the changes.
 
-    A machine is flagged as occupied in the record before it may get tasks, and until it is certain
-    that it holds none: a later owner need not wait for the machines without a flag.
+    A machine is flagged as occupied in the record before it may get tasks, and stays flagged until
+    it certainly holds none. So a later owner need not wait for machines without the flag.
     """
 
     def __init__(self, context: ControllerContext, writer: ShardWriter) -> None:
         self.context = context
         self.writer = writer
-        self._next_start: dict[str, int] = {}  # shard_id -> first machine of the next comparison
+        # shard_id -> index of the first machine of the next comparison
+        self._next_start: dict[str, int] = {}
 
     def update_all(self, shard: Shard) -> None:
-        """Compare all machines, of a large shard the next ones in turn: whether they may hold tasks
-        changes with time alone, too."""
+        """Compare all machines, or the next ones in turn of a large shard.
+
+        Each machine has to be compared from time to time, because whether it may hold tasks can
+        change by the passing of time alone.
+        """
         machine_ids = list(shard.machines)
         if len(machine_ids) > MAX_COMPARED_MACHINES:
             start = self._next_start.get(shard.shard_id, 0) % len(machine_ids)
@@ -36,7 +40,10 @@
         self.update_due(shard)
 
     def update_due(self, shard: Shard) -> None:
-        """Compare the machines that are due. One whose flag or move is being written stays due."""
+        """Compare the machines that are due.
+
+        A machine stays due while its flag or its removal from the shard is being written.
+        """
         due, shard.occupancy_due = shard.occupancy_due, {}
         machines, entries = shard.machines, shard.record.machines
         for machine_id in due:
@@ -45,10 +52,10 @@
             if machine is None or entry is None:
                 continue
             self._request_change(shard, machine, entry)
-            # What has become of earlier requests.
+            # Apply the outcome of earlier requests.
             leaving = machine.scale_in.leaving_shard
             if leaving and not self.writer.is_leaving(shard.shard_id, machine_id):
-                machine.scale_in.leaving_shard = leaving = False  # its move was cancelled
+                machine.scale_in.leaving_shard = leaving = False  # its removal was cancelled
                 shard.needs_replan = True
             occupied = self.writer.is_occupied(shard.shard_id, machine_id)
             if occupied != machine.flagged_occupied:
@@ -59,7 +66,7 @@
                 shard.occupancy_due[machine_id] = None
 
     def _request_change(self, shard: Shard, machine: Machine, entry: MachineEntry) -> None:
-        """Request another flag if the one in the record, or requested already, is not right."""
+        """Request a change of the flag if the recorded or already requested one is wrong."""
         machine_id, context = machine.machine_id, self.context
         requested = self.writer.pending_occupancy(shard.shard_id)
         flagged = requested.get(machine_id, entry.occupied)
--- a/fallpulley/shards/owned.py
+++ b/fallpulley/shards/owned.py
@@ -7,18 +7,18 @@
 
 
 class OwnedShards:
-    """State and agent of each, by shard_id."""
+    """Holds the state and the agent of each owned shard, by shard_id."""
 
     def __init__(self) -> None:
         self.shards: dict[str, Shard] = {}
         self.agents: dict[str, ShardAgent] = {}
 
     def add(self, agent: ShardAgent) -> None:
-        """This controller owns the shard from now on."""
+        """Add a shard that this controller has acquired."""
         self.shards[agent.shard.shard_id] = agent.shard
         self.agents[agent.shard.shard_id] = agent
 
     def remove(self, shard_id: str) -> None:
-        """Another controller owns the shard now."""
+        """Remove a shard that another controller now owns; raises KeyError if it is not here."""
         del self.shards[shard_id]
         del self.agents[shard_id]
--- a/fallpulley/shards/preemption_notice.py
+++ b/fallpulley/shards/preemption_notice.py
@@ -1,4 +1,4 @@
-"""Stops tasks on a spot machine that the cloud is about to take, while they can save their work."""
+"""Stops tasks on a spot machine that the cloud is about to take, in time to save their work."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 
-# A task that is to finish on its own has to do so this long before the cloud takes the machine.
+# A task is not stopped if it is expected to end at least this long before the cloud takes the
+# machine.
 FINISH_MARGIN_SECONDS = 1.0
-# A task is stopped in time for its checkpoint and for so many heartbeat intervals, within which the
-# command reaches the machine.
+# Time for a stop command to reach the machine, in heartbeat intervals. It is added to the time that
+# saving a checkpoint takes.
 STOP_INTERVALS = 2
 
 
 def stop_tasks_for_preemption(shard: Shard, commands: MachineCommands, machine: Machine) -> None:
-    """Stop what cannot finish in time, as late as its checkpoint allows.
+    """Stop the tasks that cannot finish in time, as late as saving their checkpoints allows.
 
-    Called with each newer state of the machine, so tasks that are not stopped yet come up again.
+    This is called with each newer state of the machine, so it checks again the tasks that it has
+    not stopped yet.
     """
     context = shard.context
     remaining_s = (machine.scale_in.preempted_at or 0.0) - context.now
@@ -24,14 +26,16 @@
         job = shard.jobs.get(run.job_id)
         if job is None or run.stop_grace_s is not None:
             continue
-        ran_s = context.now - (run.started_at or context.now)
+        elapsed_s = context.now - (run.started_at or context.now)
         if (
             run.started_at is not None
-            and run.estimated_run_s - ran_s < remaining_s - FINISH_MARGIN_SECONDS
+            and run.estimated_run_s - elapsed_s < remaining_s - FINISH_MARGIN_SECONDS
         ):
             continue
-        saves = job.spec.checkpoint_interval_s > 0
-        stop_s = job.spec.checkpoint_save_s + STOP_INTERVALS * context.timing.heartbeat_interval_s
-        if saves and remaining_s > stop_s:
-            continue  # there is time for more work before saving
-        commands.stop(run, remaining_s if saves else 0.0)
+        saves_checkpoints = job.spec.checkpoint_interval_s > 0
+        stop_lead_s = (
+            job.spec.checkpoint_save_s + STOP_INTERVALS * context.timing.heartbeat_interval_s
+        )
+        if saves_checkpoints and remaining_s > stop_lead_s:
+            continue  # there is time for more work before the checkpoint
+        commands.stop(run, remaining_s if saves_checkpoints else 0.0)
--- a/fallpulley/shards/run_times.py
+++ b/fallpulley/shards/run_times.py
@@ -1,4 +1,4 @@
-"""Learns from the run times of completed tasks: about their machine, their job and its class."""
+"""Recording of run times of completed tasks: for their machine, their job and its class."""
 
 from __future__ import annotations
 
@@ -7,20 +7,24 @@
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine, TaskRun
 
-# Read for every task or job: a member of an enum takes ten times as long to look up.
+# Bound to a module name because it is read for every task or job: looking up a member of an
+# enum takes ten times as long.
 _SERVICE = JobKind.SERVICE
 
-# Lower bound of a recorded run time: estimates and ratios stay above zero.
+# Lower bound of a recorded run time, so that estimates and ratios stay above zero.
 MIN_RUN_SECONDS = 0.1
 
 
 def record_run_time(shard: Shard, machine: Machine, job: OpenJob, run: TaskRun | None) -> None:
-    """A task of the job has completed on the machine; `run`: our attempt of it, if it was ours."""
+    """Record that a task of the job was completed on the machine, and how long it ran.
+
+    `run` is the attempt that completed the task; None if this owner does not know that attempt.
+    """
     machine.reliability.completed_tasks += 1
     if run is None or run.started_at is None or job.spec.kind is _SERVICE:
         return
     run_s = max(MIN_RUN_SECONDS, shard.context.now - run.started_at)
-    # The estimate as it was before this run time: recording it changes the estimate.
+    # Read before the run time is recorded, because that changes the estimate.
     estimated_s = shard.estimate_run_s(job)
     machine.speed.record(run_s / estimated_s)
     job.run_times.record(run_s)
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -1,8 +1,8 @@
 """A shard that this controller owns: its machines, its open jobs, and which tasks run where.
 
-In memory only. After a failover all of it is rebuilt from the machines' own heartbeats; until
-each machine of the shard has sent one with our token or is confirmed empty, tasks of jobs
-accepted before may still be running somewhere and are not started.
+All of this is in memory only, and is rebuilt from the machines' heartbeats after a failover. Until
+each machine of the shard has reported this owner's fencing token or is confirmed to hold no tasks,
+tasks of jobs accepted before the failover may still be running somewhere, and are not started.
 """
 
 from __future__ import annotations
@@ -19,25 +19,28 @@
 from fallpulley.placement.plan import Booking
 from fallpulley.records.shard_record import MachineEntry, ShardRecord
 from fallpulley.shards.attempt_numbers import AttemptNumbers
-from fallpulley.shards.decisions import IGNORED_DECISIONS, DecisionSink
+from fallpulley.shards.decisions import NULL_DECISION_SINK, DecisionSink
 from fallpulley.timing import CLOCK_DRIFT
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import TaskState
 
 log = logging.getLogger(__name__)
 
-# Read for every task or job: a member of an enum takes ten times as long to look up.
+# Bound to module names because they are read for every task or job: looking up a member of an
+# enum takes ten times as long.
 _EXITED = TaskState.EXITED
 _SERVICE = JobKind.SERVICE
 
-# A machine on which so many different jobs failed, and that completed less, is faulty.
+# A machine is faulty if tasks of this many different jobs failed on it, and it completed few tasks
+# in comparison.
 FAULTY_MACHINE_JOBS = 3
-# A service runs until it is cancelled; it is booked for so many worker leases at a time.
+# Assumed run time of a service, in worker leases: it runs until it is cancelled, and is booked for
+# this long at a time.
 SERVICE_LEASES = 60.0
 
 
 class TeamUsage(NamedTuple):
-    """What the tasks of a team take, summed up."""
+    """The processors and GPUs that all tasks of a team take together."""
 
     cpus: float
     gpus: float
@@ -54,48 +57,57 @@
         mod_revision: int,
         fresh: bool,
     ):
-        """`record` and `mod_revision`: what made this controller the owner; `fresh`: nobody owned
-        the shard before."""
+        """Create the state of a shard that was just acquired.
+
+        Args:
+            context: The context of this controller.
+            shard_id: The shard.
+            record: The record that made this controller the owner.
+            mod_revision: The revision of that record.
+            fresh: Whether the shard had no owner before.
+        """
         self.context = context
         self.shard_id = shard_id
 
         # The record, and how the shard was acquired.
         self.record = record
-        self.fencing_token = mod_revision  # of the newest record
+        self.fencing_token = mod_revision  # the revision of the newest record
         self.acquired_revision = mod_revision
         self.acquired_at = context.now
         self.acquired_by_failover = not fresh
-        # The record needs a newer revision, to raise machines' tokens and to count attempts with.
+        # Whether the record is to be written again, because a newer revision is needed to raise the
+        # machines' tokens or to issue attempt numbers.
         self.needs_new_revision = False
 
-        # Machines by machine_id, at first in the record's order; an extension may rearrange them.
+        # By machine_id, at first in the record's order; an extension may change the order.
         self.machines = {
             machine_id: Machine(machine_id, entry, mod_revision, context.now)
             for machine_id, entry in record.machines.items()
         }
-        self.last_heartbeat_at = float("-inf")  # of any machine
-        # Machines whose occupancy flags are to be compared with what they may hold now.
+        self.last_heartbeat_at = float("-inf")  # when any machine last sent one
+        # Machines whose occupancy flags are to be compared with whether they may hold tasks now; a
+        # dict keeps them in order.
         self.occupancy_due: dict[str, None] = dict.fromkeys(self.machines)
-        # Machines that may hold tasks we do not know of.
+        # Machines that may hold tasks that this owner does not know of.
         self.unreconciled = {
             machine_id for machine_id, entry in record.machines.items() if entry.occupied
         }
-        # Machines whose heartbeats come without showing that our responses reach them.
+        # Machines whose heartbeats arrive, but do not show that this owner's responses reach them.
         self.unacknowledged: set[str] = set()
 
         # Jobs, and what is planned for them.
         self.jobs: dict[str, OpenJob] = {}
-        self.progress_loaded = fresh  # the jobs' stored progress has been read
-        self.bookings: dict[str, list[Booking]] = {}  # tasks to start now, by machine
+        self.progress_loaded = fresh  # whether the jobs' stored progress has been read
+        self.bookings: dict[str, list[Booking]] = {}  # tasks to start now, by machine_id
         self.needs_replan = True
         self.attempt_numbers = AttemptNumbers(mod_revision)
         self.corrections = Corrections()
 
-        self.decisions: DecisionSink = IGNORED_DECISIONS
+        self.decisions: DecisionSink = NULL_DECISION_SINK
 
     @property
     def first_attempt(self) -> int:
-        """Attempts of this owner have this number or a higher one."""
+        """Lower bound of the attempt numbers that this owner issues."""
         return self.attempt_numbers.first
 
     # -- jobs ------------------------------------------------------------------------------
@@ -103,25 +115,28 @@
     def add_job(
         self, job_id: str, record: JobRecord, mod_revision: int, node: DependencyNode | None
     ) -> None:
-        """An open job is to run here; `node`: its place in a pipeline, if it has one."""
+        """Add an open job that is to run in this shard, unless its record has no specification.
+
+        `node` is the job's place in a pipeline, None if it belongs to none.
+        """
         if record.spec is None:
             return
         self.jobs[job_id] = OpenJob(job_id, record, record.spec, mod_revision, node)
         self.needs_replan = True
 
     def is_unreconciled(self, job: OpenJob) -> bool:
-        """Whether tasks of the job may be running that we do not know of."""
+        """Return whether tasks of the job may be running that this owner does not know of."""
         if not self.unreconciled and self.progress_loaded:
             return False
         return job.mod_revision <= self.acquired_revision
 
     def runs(self) -> Iterator[TaskRun]:
-        """All attempts that are not confirmed gone, by machine."""
+        """Yield all attempts that are not confirmed gone, machine by machine."""
         for machine in self.machines.values():
             yield from machine.runs.values()
 
     def team_usage(self, team: str) -> TeamUsage:
-        """What the tasks of a team take, counting all that are not confirmed gone."""
+        """Return what a team's tasks take, counting all attempts that are not confirmed gone."""
         cpus = gpus = 0.0
         for job in self.jobs.values():
             if job.spec.team == team:
@@ -130,8 +145,10 @@
         return TeamUsage(cpus, gpus)
 
     def has_unknown_tasks(self) -> bool:
-        """Whether a machine has tasks of no open job: most likely of one that has ended, so that
-        no record says what they take, or for which team."""
+        """Return whether a machine has a task that is not an attempt known to this owner.
+
+        Most likely its job has ended, so no record tells what it takes, or for which team.
+        """
         return any(
             status.state is not _EXITED and task_id not in machine.runs
             for machine in self.machines.values()
@@ -139,7 +156,7 @@
         )
 
     def estimate_run_s(self, job: OpenJob) -> float:
-        """How long a task of the job runs, in seconds, without its image fetch."""
+        """Return the estimated run time of a task, in seconds, without its image fetch."""
         if job.spec.kind is _SERVICE:
             return SERVICE_LEASES * self.context.timing.lease_s
         corrected_s = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
@@ -148,14 +165,14 @@
     # -- machines --------------------------------------------------------------------------
 
     def apply_record(self, record: ShardRecord, mod_revision: int) -> None:
-        """A newer record of the shard: machines came or left."""
+        """Apply a newer record of the shard, in which machines were added or removed."""
         self.record = record
         self.fencing_token = mod_revision
         self.needs_new_revision = False
         for machine_id in sorted(self.machines.keys() - record.machines.keys()):
             self._remove_machine(machine_id)
         if len(self.machines) < len(record.machines):
-            # In the record's order: a set's would differ from run to run.
+            # Added in the record's order; the order of a set would differ from run to run.
             for machine_id in [
                 machine_id for machine_id in record.machines if machine_id not in self.machines
             ]:
@@ -176,7 +193,7 @@
         self.machines[machine_id] = Machine(machine_id, entry, self.fencing_token, self.context.now)
         self.occupancy_due[machine_id] = None
         log.info(
-            "machine granted machine=%s shard=%s token=%d",
+            "machine granted to shard machine=%s shard=%s token=%d",
             machine_id,
             self.shard_id,
             self.fencing_token,
@@ -184,14 +201,18 @@
         self.decisions.machine_granted(machine_id)
 
     def confirm_gone(self, machine_id: str) -> None:
-        """The cloud has confirmed that the machine is gone, and all of its tasks with it."""
+        """Record that the machine and all of its tasks are gone, as the cloud has confirmed."""
         if machine_id in self.unreconciled:
-            log.info("machine confirmed gone machine=%s shard=%s", machine_id, self.shard_id)
+            log.info(
+                "cloud confirmed that the machine is gone machine=%s shard=%s",
+                machine_id,
+                self.shard_id,
+            )
             self.unreconciled.discard(machine_id)
             self.needs_replan = True
 
     def previous_owners_expired(self) -> bool:
-        """Whether the response windows of all previous owners have ended."""
+        """Return whether the response windows of all previous owners have ended."""
         return (
             self.context.now
             > self.acquired_at + self.context.timing.response_window_s * CLOCK_DRIFT
@@ -200,10 +221,10 @@
     # -- runs ------------------------------------------------------------------------------
 
     def drop_runs(self, machine: Machine, reason: str) -> None:
-        """The machine is confirmed to hold no tasks any more."""
+        """Drop all attempts on a machine that is confirmed to hold no tasks any more."""
         if machine.runs:
             log.info(
-                "tasks dropped machine=%s reason=%s count=%d",
+                "attempts on machine confirmed gone machine=%s reason=%s count=%d",
                 machine.machine_id,
                 reason,
                 len(machine.runs),
@@ -218,7 +239,7 @@
         self.occupancy_due[machine.machine_id] = None
 
     def drop_run(self, run: TaskRun) -> None:
-        """An attempt is confirmed gone: its task is to be started again."""
+        """Drop an attempt that is confirmed gone, and requeue its task."""
         job = self.jobs.get(run.job_id)
         if job is None or job.runs.get(run.task_index) is not run:
             return
--- a/fallpulley/shards/task_changes.py
+++ b/fallpulley/shards/task_changes.py
@@ -1,4 +1,4 @@
-"""What follows for a shard's jobs when tasks on a machine have started, exited or vanished."""
+"""Updates of a shard's jobs when tasks on its machines have started, exited or vanished."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 log = logging.getLogger(__name__)
 
-# Read for every task or job: a member of an enum takes ten times as long to look up.
+# Bound to module names because they are read for every task or job: looking up a member of an
+# enum takes ten times as long.
 _DONE = ExitReason.DONE
 _ERROR = ExitReason.ERROR
 
@@ -29,7 +30,10 @@
         self.shard = shard
 
     def apply(self, machine: Machine, changes: HeartbeatChanges) -> None:
-        """Requeue, complete, adopt; the machine's own state has been brought up to date before."""
+        """Requeue, complete or adopt the changed tasks.
+
+        The state of the machine itself has to be up to date already.
+        """
         for run in changes.vanished:
             self._on_vanished(run)
         for exited in changes.exited:
@@ -48,7 +52,9 @@
     def _on_vanished(self, run: TaskRun) -> None:
         self.shard.drop_run(run)
         if run.reported:
-            log.info("task vanished task=%s machine=%s", run.task_id, run.machine_id)
+            log.info(
+                "task vanished from its machine task=%s machine=%s", run.task_id, run.machine_id
+            )
 
     def _on_started(self, machine: Machine, run: TaskRun) -> None:
         job = self.shard.jobs.get(run.job_id)
@@ -77,7 +83,7 @@
     def _on_failed(
         self, machine: Machine, job: OpenJob, run: TaskRun, exit_reason: ExitReason | None
     ) -> None:
-        """A run has exited without completing its task."""
+        """Requeue the task of an attempt that has exited without completing it."""
         log.info(
             "task exited task=%s machine=%s reason=%s", run.task_id, machine.machine_id, exit_reason
         )
--- a/fallpulley/shards/token_check.py
+++ b/fallpulley/shards/token_check.py
@@ -1,4 +1,4 @@
-"""Whether our commands reach a machine, by the fencing tokens that it reports."""
+"""Checks by reported fencing tokens whether this owner's commands reach the machines."""
 
 from __future__ import annotations
 
@@ -13,17 +13,22 @@
 
 
 class TokenCheck:
-    """Keeps the machines of one shard fenced or not, and acknowledged or not."""
+    """Tracks which machines of one shard are fenced, and which are unacknowledged.
+
+    A fenced machine has reported a token of this owner. The heartbeats of an unacknowledged machine
+    arrive, but do not show that this owner's responses reach it.
+    """
 
     def __init__(self, context: ControllerContext, shard: Shard) -> None:
         self.context = context
         self.shard = shard
 
     def apply_token(self, machine: Machine, heartbeat: Heartbeat) -> bool:
-        """Apply the token that the machine reports; says whether the rest may be applied.
+        """Apply the token in a heartbeat; return whether the rest of it may be applied.
 
-        It may once the machine has reported a token of ours. Until then it may be a late copy from
-        before we owned the machine, which renews no lease and confirms nothing.
+        It may once the machine has reported a token of this owner. Until then, the heartbeat may be
+        a late copy from before this controller owned the machine, which shows neither that a lease
+        was renewed nor what the machine holds now.
         """
         self._check_token(machine, heartbeat)
         if machine.fencing.fenced:
@@ -34,20 +39,27 @@
         return False
 
     def require_new_token(self, machine: Machine) -> None:
-        """Heartbeats come, but a command of ours did not take effect.
+        """Give a machine no tasks until it reports a token that only this owner can have sent it.
 
-        Heartbeats alone confirm neither that our responses reach the machine nor that its lease
-        goes on: it gets no task until it reports a token that it can have from us alone.
+        For a machine whose heartbeats arrive although a start command did not take effect. The
+        heartbeats alone confirm neither that responses reach the machine nor that its lease goes
+        on.
         """
-        log.info("machine unacknowledged machine=%s", machine.machine_id)
+        log.info(
+            "start command had no effect; no tasks until a newer token is reported machine=%s",
+            machine.machine_id,
+        )
         self._set_unacknowledged(machine)
         self.shard.needs_replan = True
         if not machine.fencing.advance_token(self.shard.fencing_token):
             self.shard.needs_new_revision = True
 
     def _check_token(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        """The highest token that the machine has had shows whether anything of ours has reached it
-        since its token was last raised."""
+        """Set whether the machine is fenced and acknowledged, by the token in its heartbeat.
+
+        The token is the highest that the machine has received. It shows whether anything from this
+        owner has reached the machine since its token was last raised.
+        """
         if heartbeat.fencing_token >= machine.fencing.token:
             self._set_acknowledged(machine)
         elif not machine.fencing.fenced and machine.fencing.unacknowledged_since is None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 from fallpulley.records.release_records import releasable, release_changes
 from fallpulley.shard_sizes import machines_per_shard
 from fallpulley.shards.attempt_numbers import AttemptNumbers
-from fallpulley.shards.fencing import Fencing
+from fallpulley.shards.fencing_prober import FencingProber
 from fallpulley.shards.lease_watch import LeaseWatch
 from fallpulley.wire.server import ServerLimits
 from tests.world import LABELS, STATE, World, job, settings
@@ -240,7 +240,7 @@
     world = large()
     world.until(lambda: bool(world.controllers[world.holder()].parts.owned.shards), 5.0)
     (agent,) = world.controllers[world.holder()].parts.owned.agents.values()
-    assert isinstance(agent.fencing, Fencing) and agent.fencing.max_in_flight == 240
+    assert isinstance(agent.fencing, FencingProber) and agent.fencing.max_in_flight == 240
 
 
 def test_blocks_are_shared_out_many_machines_at_a_time() -> None:
