--- a/fallpulley/heartbeats/__init__.py
+++ b/fallpulley/heartbeats/__init__.py
@@ -1,1 +1,1 @@
-"""Machines' heartbeats: which controller answers them, when, and with which commands."""
+"""Handling of machines' heartbeats: who answers them, when, and with which commands."""
--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -1,4 +1,4 @@
-"""Holds back the responses to heartbeats of machines that the next plan may give tasks to."""
+"""Deferral of the responses to machines that the next plan may give tasks to."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.workers.machine import Machine
 
-# A machine with room waits so long, in heartbeat intervals, for the next plan to answer its
-# heartbeat: without, room that a task had just left stood idle until the next heartbeat.
+# How long the response to a machine with room waits for the next plan, in heartbeat intervals.
+# Without the wait, room that a task had just left stayed idle until the next heartbeat.
 DEFER_INTERVALS = 0.25
 
 
 class DeferredHeartbeat(msgspec.Struct):
-    """A heartbeat of an owned machine, to be answered once the machine need not wait."""
+    """A heartbeat of an owned machine, which has been applied and is to be answered."""
 
     pending_response: PendingResponse
     agent: ShardAgent
     machine: Machine
-    newer: bool  # it was newer than what was known of the machine
-    deadline_at: float  # by the steady clock
+    newer: bool  # whether it was newer than the newest state known of the machine
+    deadline_at: float  # when it is answered at the latest, in seconds of the monotonic clock
 
 
 class DeferredHeartbeats:
@@ -31,28 +31,33 @@
     def __init__(self, context: ControllerContext, responder: HeartbeatResponder) -> None:
         self.context = context
         self.responder = responder
-        self.waiting: list[DeferredHeartbeat] = []  # checked before; deadlines in rising order
-        self._arrived: list[DeferredHeartbeat] = []  # since the last responses
+        # Heartbeats that were checked and go on waiting, by rising deadline.
+        self.waiting: list[DeferredHeartbeat] = []
+        # Heartbeats added since `respond` was last called.
+        self._arrived: list[DeferredHeartbeat] = []
         self._recheck_waiting = True
 
     def add(
         self, pending_response: PendingResponse, agent: ShardAgent, machine: Machine, newer: bool
     ) -> None:
-        """A heartbeat that has been applied; `newer`: it was newer than what was known."""
+        """Add a heartbeat that has been applied.
+
+        `newer` tells whether it was newer than the newest state known of the machine.
+        """
         deadline_at = self.context.now + DEFER_INTERVALS * self.context.timing.heartbeat_interval_s
         self._arrived.append(
             DeferredHeartbeat(pending_response, agent, machine, newer, deadline_at)
         )
 
     def recheck(self) -> None:
-        """Plans or occupancy flags have changed what the heartbeats wait for."""
+        """Make `respond` check all waiting heartbeats, as plans or occupancy flags have changed."""
         self._recheck_waiting = True
 
     def respond(self) -> None:
         """Answer the heartbeats that need not wait any longer.
 
-        While neither plans nor occupancy flags change, those that waited before go on waiting
-        until their deadlines: only the overdue ones, which come first, and new ones are checked.
+        While neither plans nor occupancy flags change, the waiting ones go on waiting until their
+        deadlines: only the overdue ones, which come first, and the new ones are checked.
         """
         recheck, self._recheck_waiting = self._recheck_waiting, False
         if not recheck:
@@ -66,13 +71,13 @@
 
     def _overdue_count(self) -> int:
         now = self.context.now
-        for number, deferred in enumerate(self.waiting):
+        for index, deferred in enumerate(self.waiting):
             if deferred.deadline_at > now:
-                return number
+                return index
         return len(self.waiting)
 
     def _respond_to(self, heartbeats: list[DeferredHeartbeat]) -> list[DeferredHeartbeat]:
-        """Answer those that need not wait; returns the others."""
+        """Answer the heartbeats that need not wait, and return the others."""
         still_waiting = []
         for deferred in heartbeats:
             if self._must_wait(deferred):
@@ -85,7 +90,7 @@
 
     def _must_wait(self, deferred: DeferredHeartbeat) -> bool:
         machine = deferred.machine
-        # It waits for the next plan, or for its occupancy flag to be in the record.
+        # The machine waits for the next plan, or for its occupancy flag to be in the record.
         unplanned = deferred.agent.shard.needs_replan or not machine.flagged_occupied
         in_time = self.context.now < deferred.deadline_at
         return unplanned and in_time and machine.usable and not machine.full
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -1,4 +1,4 @@
-"""Routes the heartbeats of machines: to their shard, to another controller, or to a later step."""
+"""Routing of heartbeats: to the machine's shard, to another controller, or to a later step."""
 
 from __future__ import annotations
 
@@ -21,22 +21,26 @@
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import Heartbeat, Redirect, parse_heartbeat
 
-# A heartbeat of a machine that is being granted waits for the record, not longer than this.
-PARK_SECONDS = 1.0
-MALFORMED = b'{"error":"malformed"}'
+# How long a heartbeat waits at most for its machine to be granted to a shard.
+GRANT_WAIT_SECONDS = 1.0
+MALFORMED_BODY = b'{"error":"malformed"}'
 
 
-class ParkedHeartbeat(msgspec.Struct):
-    """A heartbeat of a machine that is being granted to a shard."""
+class HeartbeatAwaitingGrant(msgspec.Struct):
+    """A heartbeat that waits for its machine to be granted to a shard."""
 
     pending_response: PendingResponse
     heartbeat: Heartbeat
-    deadline_at: float  # by the steady clock
+    deadline_at: float  # when the wait ends at the latest, in seconds of the monotonic clock
 
 
 class HeartbeatHandler:
-    """Handles `POST /checkin`: heartbeats of owned machines are applied and answered later in the
-    step or after the next plan, others are redirected or refused at once."""
+    """Handles `POST /checkin`.
+
+    Heartbeats of owned machines are applied, and answered later in the step or after the next plan.
+    Heartbeats of machines that are being granted to a shard wait for that. All others are
+    redirected or refused at once.
+    """
 
     def __init__(
         self,
@@ -49,7 +53,11 @@
         owned: OwnedShards,
         is_serving: Callable[[], bool],
     ) -> None:
-        """`is_serving`: whether this controller may respond, being within its response window."""
+        """Create a handler without waiting heartbeats.
+
+        `is_serving` tells whether this controller is within its response window, so that it may
+        respond to machines.
+        """
         self.context = context
         self.watch = watch
         self.registry = registry
@@ -60,28 +68,28 @@
         self.is_serving = is_serving
         self.responder = HeartbeatResponder(context, watch, registry, writer, owned, is_serving)
         self.deferred = DeferredHeartbeats(context, self.responder)
-        self._parked: list[ParkedHeartbeat] = []
+        self._awaiting_grant: list[HeartbeatAwaitingGrant] = []
 
     def handle(self, pending_response: PendingResponse, body: bytes) -> None:
-        """A heartbeat, still encoded."""
+        """Route an encoded heartbeat, or refuse it if it is malformed."""
         heartbeat = parse_heartbeat(body)
         if heartbeat is None:
-            self.context.respond(pending_response, HTTPStatus.BAD_REQUEST, MALFORMED)
+            self.context.respond(pending_response, HTTPStatus.BAD_REQUEST, MALFORMED_BODY)
             return
-        self._route(pending_response, heartbeat, self.context.now + PARK_SECONDS)
+        self._route(pending_response, heartbeat, self.context.now + GRANT_WAIT_SECONDS)
 
     def retry_parked(self) -> None:
-        """Route the heartbeats of machines that have been granted since, or waited too long."""
-        parked, self._parked = self._parked, []
-        for waiting in parked:
+        """Route the waiting heartbeats whose machines were granted, or whose wait has ended."""
+        awaiting_grant, self._awaiting_grant = self._awaiting_grant, []
+        for waiting in awaiting_grant:
             granted = waiting.heartbeat.machine_id in self.registry.shard_of_machine
             if granted or self.context.now >= waiting.deadline_at:
                 self._route(waiting.pending_response, waiting.heartbeat, waiting.deadline_at)
             else:
-                self._parked.append(waiting)
+                self._awaiting_grant.append(waiting)
 
     def recheck_deferred(self) -> None:
-        """Plans or occupancy flags have changed what deferred heartbeats wait for."""
+        """Check all deferred heartbeats again: plans or occupancy flags have changed."""
         self.deferred.recheck()
 
     def respond_to_deferred(self) -> None:
@@ -91,7 +99,7 @@
     def _route(
         self, pending_response: PendingResponse, heartbeat: Heartbeat, deadline_at: float
     ) -> None:
-        """`deadline_at`: until when the heartbeat may be parked."""
+        """Apply, redirect or refuse a heartbeat, or let it wait until `deadline_at` for a grant."""
         if not self.watch.loaded or not self.is_serving():
             self.responder.respond_unavailable(pending_response)
             return
@@ -110,9 +118,9 @@
             or heartbeat.fencing_token > shard.fencing_token
             or machine.heartbeat.is_stale_copy(heartbeat)
         ):
-            # An owner with a higher token has reached the machine: our copy of the records is
-            # behind. Or it is a late copy of a heartbeat: its response must not count as one that
-            # renews the machine's lease.
+            # Either this controller's copy of the records is out of date, and another owner has
+            # reached the machine with a higher token. Or the heartbeat is a late copy, and the
+            # response to it must not count as one that renews the machine's lease.
             self.responder.respond_unavailable(pending_response)
             return
         self._apply(pending_response, heartbeat, agent, machine)
@@ -126,8 +134,8 @@
     ) -> None:
         """Apply the heartbeat to its shard, and defer the response."""
         if heartbeat.fencing_token > machine.fencing.token:
-            # The machine left the shard and came back between two of our reads of the records: to
-            # us it is a machine just granted.
+            # The machine left the shard and came back between two reads of the records by this
+            # controller. It is treated as a machine that was just granted.
             machine.fencing.token = agent.shard.fencing_token
             machine.fencing.fenced = False
         newer = agent.intake.handle_heartbeat(machine, heartbeat)
@@ -145,22 +153,30 @@
     def _handle_unknown_machine(
         self, pending_response: PendingResponse, heartbeat: Heartbeat, deadline_at: float
     ) -> None:
-        """A machine of no shard: only the leader grants machines to shards."""
+        """Redirect, refuse or hold the heartbeat of a machine that belongs to no shard.
+
+        Only the leader grants machines to shards.
+        """
         if self.leadership.term is None:
             leader = self.registry.leader
             self._redirect(pending_response, leader[0].controller_id if leader else None)
             return
         if self._is_being_granted(heartbeat) and self.context.now < deadline_at:
-            self._parked.append(ParkedHeartbeat(pending_response, heartbeat, deadline_at))
+            self._awaiting_grant.append(
+                HeartbeatAwaitingGrant(pending_response, heartbeat, deadline_at)
+            )
             return
         self.responder.respond_unavailable(pending_response)
 
     def _is_being_granted(self, heartbeat: Heartbeat) -> bool:
-        """Whether a record with the machine is being written, or is from now on."""
+        """Return whether the machine is being added to a shard's record.
+
+        If it is not, this tries to have it added, provided that the cloud lists it.
+        """
         if self.writer.is_being_added(heartbeat.machine_id):
             return True
         if heartbeat.machine_id not in self.provider.listed_machines:
-            # The heartbeat may be a late copy of a machine long released: the cloud has to list it.
+            # The heartbeat may be a late copy from a machine that was released long ago.
             return False
         return self.provider.adopt(
             heartbeat.machine_id,
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -1,4 +1,4 @@
-"""Responses to heartbeats: whether a machine may have one, and the commands that it carries."""
+"""Responses to heartbeats: whether a machine may get one, and the commands in it."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import HeartbeatResponse, TaskCommand
 
-# A machine of a shard just acquired is answered so often before it must have shown our token.
+# How many responses a machine of a shard just acquired may get before it has reported this owner's
+# token.
 MAX_UNFENCED_RESPONSES = 3
+# Delay after which a refused machine may try again, sent as the Retry-After header.
 RETRY_AFTER_SECONDS = 1.0
-# Lower bound of a machine type's image bandwidth, in GB per second, against division by zero.
+# Lower bound of a machine type's image bandwidth, in GB per second; prevents a division by zero.
 MIN_FETCH_GB_PER_SECOND = 1e-3
-OK = HTTPStatus.OK  # a constant: it is sent for nearly every heartbeat
+# Bound to a module name because it is read for nearly every heartbeat.
+_OK = HTTPStatus.OK
 
 
 class HeartbeatResponder:
-    """Answers heartbeats of the machines of owned shards. Each response renews a lease."""
+    """Answers heartbeats of machines of owned shards; each answer renews the machine's lease."""
 
     def __init__(
         self,
@@ -41,7 +44,11 @@
         owned: OwnedShards,
         is_serving: Callable[[], bool],
     ) -> None:
-        """`is_serving`: whether this controller may respond, being within its response window."""
+        """Create a responder.
+
+        `is_serving` tells whether this controller is within its response window, so that it may
+        respond to machines.
+        """
         self.context = context
         self.watch = watch
         self.registry = registry
@@ -50,7 +57,7 @@
         self.is_serving = is_serving
 
     def respond_unavailable(self, pending_response: PendingResponse) -> None:
-        """Renew nothing: the machine tries the next controller."""
+        """Refuse a heartbeat, which renews no lease; the machine then tries the next controller."""
         self.context.respond(
             pending_response, HTTPStatus.SERVICE_UNAVAILABLE, b"", RETRY_AFTER_SECONDS
         )
@@ -60,21 +67,21 @@
     ) -> None:
         """Answer a heartbeat with the commands for its machine, or refuse it.
 
-        `newer`: the heartbeat was newer than what was known of the machine.
+        `newer` tells whether the heartbeat was newer than the newest state known of the machine.
         """
         if not self._may_respond(agent.shard, machine):
             self.respond_unavailable(pending_response)
             return
         commands: list[TaskCommand] = []
         if machine.fencing.fenced:
-            # Also when the response to a direct command has overtaken the heartbeat: this response
-            # renews the lease, so it carries what is to stop.
+            # This response renews the lease, so it carries the stop commands even if the heartbeat
+            # was overtaken by the response to a direct command and is not newer.
             commands = agent.commands.pending_commands(machine)
             if newer and self._may_start_tasks(agent.shard, machine):
                 commands += self._start_commands(agent, machine)
         machine.heartbeat.responded_at = self.context.now
         body = msgspec.json.encode(HeartbeatResponse(machine.fencing.token, commands))
-        self.context.respond(pending_response, OK, body)
+        self.context.respond(pending_response, _OK, body)
 
     def _may_respond(self, shard: Shard, machine: Machine) -> bool:
         if (
@@ -83,26 +90,27 @@
         ):
             return False
         if not self.is_serving():
-            return False  # checked again: a heartbeat that waited may have outlived the window
+            return False  # the response window may have ended while the heartbeat waited
         if machine.machine_id not in shard.unreconciled or machine.fencing.fenced:
             return True
-        # It may hold tasks and has not shown that our responses reach it. A response may renew its
-        # lease, so it gets a few only: a machine that no response reaches would put off for ever
-        # the time when it is confirmed empty, and with it every job accepted before.
+        # The machine may hold tasks, and has not shown that this owner's responses reach it. Each
+        # response may renew its lease, and so delays the time when it can be confirmed to hold no
+        # tasks; until then, no job accepted before the failover is started. Without a limit, a
+        # machine that no response reaches would delay this for ever.
         if machine.fencing.unfenced_responses >= MAX_UNFENCED_RESPONSES:
             return False
         machine.fencing.unfenced_responses += 1
         return True
 
     def _may_start_tasks(self, shard: Shard, machine: Machine) -> bool:
-        # The occupancy flag by the newest copy of the record, not by the last comparison of all.
+        # The machine's own copy of the flag may be out of date, so the record's is checked too.
         occupied = machine.flagged_occupied and self.writer.is_occupied(
             shard.shard_id, machine.machine_id
         )
         return machine.usable and occupied and self.watch.ready
 
     def _start_commands(self, agent: ShardAgent, machine: Machine) -> list[TaskCommand]:
-        """Start the tasks that are booked on the machine from now on."""
+        """Return the start commands for the tasks that are booked on the machine."""
         commands: list[TaskCommand] = []
         shard = agent.shard
         for booking in shard.bookings.pop(machine.machine_id, ()):
@@ -117,22 +125,22 @@
         return commands
 
     def _record_image(self, shard: Shard, machine: Machine, spec: Submission) -> None:
-        """The machine uses the job's image from now on, and fetches it first if it has to."""
+        """Record that the machine uses the job's image from now on, fetching it first if needed."""
         machine_type = self.registry.machine_types.get(machine.entry.machine_type)
         if machine_type is None:
             return
         images = machine.images
         if spec.image not in images.cached:
-            # Fetches run one after the other.
-            begin = max([self.context.now, *images.fetching.values()])
+            # Images are fetched one after the other.
+            fetch_begins_at = max([self.context.now, *images.fetching.values()])
             fetch_gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_SECOND)
-            images.fetching[spec.image] = begin + spec.image_gb / fetch_gb_per_s
+            images.fetching[spec.image] = fetch_begins_at + spec.image_gb / fetch_gb_per_s
             shard.decisions.image_cached(machine.machine_id, spec.image, spec.image_gb)
         images.add(spec.image, spec.image_gb, machine_type.cache_gb)
 
 
 def _is_startable(job: OpenJob, booking: Booking) -> bool:
-    """Whether the job still needs the booked task to start."""
+    """Return whether the job still needs the booked task to start."""
     return not (
         job.cancelled or booking.task_index in job.runs or job.is_completed(booking.task_index)
     )
