--- a/fallpulley/placement/__init__.py
+++ b/fallpulley/placement/__init__.py
@@ -1,8 +1,11 @@
-"""Placement by MOWS: which pending task runs where and from when (docs/design.md).
+"""Placement of pending tasks on machines by MOWS: which task starts where, and when.
 
-A module for each step of the thesis (cited as T 3-1 and so on): `estimate` (run times, T 5-2-6),
-`remaining_time` and `queue` (T 3-1), `profile` (T 3-2), `machine_pool` (T 3-4) and `plan`, which
-joins them; `victims` is the one exception that stops tasks. These and `snapshot` are pure: they
-import nothing that reads a shard. The others turn a shard's state into their input: `age_bound`,
-`pending_jobs`, `preemption`, `shard_plan`, `snapshot_builder`, `team_limits`; `planner` says when.
+The algorithm is described in docs/design.md. In comments, `T 3-1` cites section 3-1 of the thesis
+that MOWS is taken from, and `exception 4` the fourth deviation of this implementation from it.
+
+Each step of the thesis has a module: `estimate` (run times, T 5-2-6), `remaining_time` and `queue`
+(queue order, T 3-1), `profile` (backfilling, T 3-2) and `machine_pool` (earliest finish time,
+T 3-4); `plan` combines them. `victims` selects running tasks to stop for urgent ones. These
+modules and `snapshot` are pure: they import nothing that reads a shard. The package `scheduling`
+builds their input from a shard's state and decides when to plan.
 """
--- a/fallpulley/placement/estimate.py
+++ b/fallpulley/placement/estimate.py
@@ -1,55 +1,59 @@
-"""Estimates of run times, learned from completed tasks (T 5-2-6).
+"""Estimates of run times, corrected by the run times of completed tasks (T 5-2-6).
 
-Users' estimates are often wrong by half. Each class of jobs has a correction that starts at 1;
-within a job, tasks that completed say more than either.
+Users' estimates are often wrong by half. Each job class has a correction factor, which starts at
+1. Within a job, the run times of its own completed tasks are better evidence than both.
 """
 
 from __future__ import annotations
 
-# Weight of one job's tasks against what the class showed before.
+# Weight of one completed task in the correction factor of its class (moving average).
 CLASS_WEIGHT = 0.05
-# The corrected estimate counts as much as this many completed tasks of the job itself.
+# The corrected estimate weighs as much as this many completed tasks of the job itself.
 PRIOR_TASKS = 2.0
-# A task past its estimate still needs about this share of the longer of the two: tasks of one
-# job differ by half, and the estimate itself may be too low.
+# The least remaining time of a running task, as a share of the longer of its estimate and the time
+# that it has run: run times within one job differ by half, and the estimate may be too low.
 OVERRUN_SHARE = 0.3
+# Bounds of the correction factors.
 MIN_CORRECTION, MAX_CORRECTION = 0.2, 5.0
 
 
 class Corrections:
-    """A factor per class on the users' estimates, between MIN_CORRECTION and MAX_CORRECTION."""
+    """Correction factors for users' estimates, one for each job class.
+
+    Factors lie between `MIN_CORRECTION` and `MAX_CORRECTION`.
+    """
 
     def __init__(self) -> None:
         self._factors: dict[str, float] = {}
 
     def factor(self, job_class: str) -> float:
-        """What to multiply estimates of the class with; 1 while nothing is known."""
+        """Return the factor for estimates of the class, 1 if no task of it has completed yet."""
         return self._factors.get(job_class, 1.0)
 
     def factors(self) -> dict[str, float]:
-        """A copy of all factors learned so far, by class."""
+        """Return a copy of all factors learned so far, by class."""
         return dict(self._factors)
 
     def restore(self, factors: dict[str, float]) -> None:
-        """Adopt factors learned by another controller, within this one's own bounds."""
+        """Adopt factors learned by another controller, limited to the bounds used here."""
         for job_class, factor in factors.items():
             self._factors[job_class] = max(MIN_CORRECTION, min(MAX_CORRECTION, factor))
 
     def record_run_time(self, job_class: str, estimated_s: float, run_s: float) -> None:
-        """Move the class's factor towards what a completed task showed."""
+        """Move the class's factor towards the run time of a completed task over its estimate."""
         ratio = max(MIN_CORRECTION, min(MAX_CORRECTION, run_s / estimated_s))
         factor = self.factor(job_class)
         self._factors[job_class] = factor + CLASS_WEIGHT * (ratio - factor)
 
 
 def run_estimate(corrected_s: float, observed_tasks: int, observed_s: float) -> float:
-    """A task's run time in seconds, from the corrected estimate and the job's completed tasks.
+    """Estimate a task's run time in seconds from the corrected estimate and completed tasks.
 
-    `observed_s` is the sum of the run times of the `observed_tasks` tasks.
+    `observed_s` is the total run time of the job's `observed_tasks` completed tasks.
     """
     return (corrected_s * PRIOR_TASKS + observed_s) / (PRIOR_TASKS + observed_tasks)
 
 
 def remaining_run_time(estimate_s: float, ran_s: float) -> float:
-    """The seconds a running task still needs; past its estimate, a share of what it has run."""
+    """Estimate how many seconds a task that has run for `ran_s` still needs (`OVERRUN_SHARE`)."""
     return max(estimate_s - ran_s, OVERRUN_SHARE * max(estimate_s, ran_s))
--- a/fallpulley/placement/machine_pool.py
+++ b/fallpulley/placement/machine_pool.py
@@ -1,4 +1,4 @@
-"""The machines of one plan: their profiles with its bookings, and the earliest finish (T 3-4)."""
+"""The machines of one plan with its bookings, and the search for the earliest finish (T 3-4)."""
 
 from __future__ import annotations
 
@@ -7,34 +7,40 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import Resources
 
-# Machines of one type differ by up to a tenth in speed: finishes that lie closer together
-# than that share of the estimate are the same for all we know, and cost decides.
+# Finish times are compared in units of this share of the run-time estimate, and cost decides
+# between equal ones: machines of one type differ by up to a tenth in speed, so that smaller
+# differences mean nothing.
 EQUAL_FINISH_SHARE = 0.1
-# Exception 1: room that is free is certain; room that will be free hangs on estimates that are
-# often wrong by half. Waiting for it must promise to finish earlier by this share of the estimate.
+# Exception 1: a task waits for resources that are still in use only if that lets it finish earlier
+# by this share of its run-time estimate. When they become free depends on estimates, which are
+# often wrong by half; resources that are free now are certain.
 FUTURE_START_PENALTY = 0.5
-# The same penalty, counted in finishes that are told apart.
-FUTURE_START_GRAINS = FUTURE_START_PENALTY / EQUAL_FINISH_SHARE
-MIN_GRAIN_S = 1e-3
-
-# Machines without room are sorted out after so many further starts: examining all of them for
-# every job cost more than the jobs' own.
-PRUNE_STARTS = 16
-
-# A booking that a task could get, best first: its finish in grains with what else counts, the
-# processors left free, finish, the machine's index, start, duration (seconds of the steady clock).
-# A plain tuple: one is made and compared for every pair of job and machine.
+# The same penalty in finish units (see EQUAL_FINISH_SHARE).
+FUTURE_START_UNITS = FUTURE_START_PENALTY / EQUAL_FINISH_SHARE
+# The smallest finish unit in seconds, for estimates near zero.
+MIN_FINISH_UNIT_S = 1e-3
+
+# How many tasks a plan starts before it again removes machines without room from the search.
+# Checking all machines for every job took longer than placing the jobs.
+PRUNE_INTERVAL_STARTS = 16
+
+# A possible booking of a task: the finish in finish units plus penalties, the processors left free,
+# the finish, the machine's index, the start and the duration (times in seconds of the monotonic
+# clock). The smallest tuple is the best candidate. A plain tuple for speed: one is made and
+# compared for every pair of job and machine.
 Candidate = tuple[float, float, float, int, float, float]
-# When a machine's room next changes, and the machine's index. A plain tuple for the same reason.
+# When a machine's free resources next change, and the machine's index. A plain tuple for speed too.
 NextChange = tuple[float, int]
 
 
 class MachinePool:
-    """Copies of the profiles that a plan books in, and which machines have room now.
+    """The profiles that a plan books in, and the machines that have room now.
+
+    Room means free processors or accelerators. Machines are identified by their index in the list
+    of snapshots. A profile is copied before the first booking in it.
 
-    Machines are known by their index in the list of snapshots. Only those with room now can
-    start something, so a job's first candidates are theirs. The others follow in the order in
-    which they get room.
+    Only machines with room now can start a task, so they are a job's first candidates. The others
+    follow in the order in which their free resources change.
     """
 
     def __init__(self, snapshots: list[MachineSnapshot], now: float) -> None:
@@ -42,12 +48,13 @@
         self.now = now
         self._profiles: list[Profile] = []
         self._copied: set[int] = set()
-        self._with_room: list[int] = []
-        self._full: list[NextChange] = []
-        self._full_non_spot: list[NextChange] | None = None  # made when first asked for
-        self._fetch_free_at: dict[int, float] = {}  # with the plan's own fetches
-        self._fetched_at: dict[tuple[int, str], float] = {}  # images that the plan fetches
-        # Resources for which no machine has room now. Room only shrinks while a plan is made.
+        self._with_room: list[int] = []  # machines with room now, by index
+        self._full: list[NextChange] = []  # machines without room now, sorted
+        self._full_non_spot: list[NextChange] | None = None  # built on first use
+        self._fetch_free_at: dict[int, float] = {}  # includes this plan's fetches
+        self._fetch_ends_at: dict[tuple[int, str], float] = {}  # end of each fetch by this plan
+        # Demands that fit on no machine now. Later in the same plan they don't fit either, because
+        # bookings only take room away.
         self._without_room: list[Resources] = []
         self._pruned_for: Resources | None = None
         self._starts_when_pruned = 0
@@ -59,7 +66,7 @@
         profile = snapshot.profile
         if profile is None:
             profile = snapshot.profile = Profile(self.now, snapshot.capacity, snapshot.running)
-        profile.begin_at(self.now)
+        profile.advance_to(self.now)
         self._profiles.append(profile)
         if profile.cpus[0] > EPSILON or profile.gpus[0] > EPSILON:
             self._with_room.append(index)
@@ -67,15 +74,18 @@
             self._full.append((profile.next_change(), index))
 
     def earliest_finish(self, job: PendingJob, index: int) -> Candidate | None:
-        """The booking for a task on the machine that finishes first (T 3-4: EFT), the image's
-        fetch included; None: it never fits."""
+        """Return the booking with the earliest finish for a task on the machine (T 3-4: EFT).
+
+        Its duration includes the time until the image is fetched. None if the task never fits.
+        """
         snapshot, now = self.snapshots[index], self.now
         run_s = job.estimated_run_s * snapshot.slowness
         ready_at = snapshot.images.get(job.image)
-        if ready_at is None and self._fetched_at:
-            ready_at = self._fetched_at.get((index, job.image))
+        if ready_at is None and self._fetch_ends_at:
+            ready_at = self._fetch_ends_at.get((index, job.image))
         if ready_at is None:
-            # As _fetch_ends_at, without its call: most pairs of job and machine come here.
+            # `_image_fetch_end` written out to save the call: this runs for most pairs of job and
+            # machine.
             free_at = self._fetch_free_at.get(index, snapshot.fetch_free_at)
             ready_at = (free_at if free_at > now else now) + job.image_gb / snapshot.fetch_gb_per_s
         profile = self._profiles[index]
@@ -84,39 +94,41 @@
         )
         if start is None:
             return None
-        # Among equal finishes, ordinary machines are left to jobs that need them.
+        # Between equal finishes, prefer spot machines: jobs that may not use them need the others.
         cost = 1.0 if job.allow_spot and not snapshot.spot else 0.0
         if start > now:
-            cost += FUTURE_START_GRAINS
+            cost += FUTURE_START_UNITS
         else:
             start = now
         duration_s = run_s + ready_at - start if ready_at > start else run_s
         finish = start + duration_s
         free_cpus = profile.cpus[0] - job.resources.cpus
-        grain_s = job.estimated_run_s * EQUAL_FINISH_SHARE
-        grains = round(finish / (grain_s if grain_s > MIN_GRAIN_S else MIN_GRAIN_S))
-        return (grains + cost, free_cpus, finish, index, start, duration_s)
+        finish_unit_s = job.estimated_run_s * EQUAL_FINISH_SHARE
+        finish_units = round(
+            finish / (finish_unit_s if finish_unit_s > MIN_FINISH_UNIT_S else MIN_FINISH_UNIT_S)
+        )
+        return (finish_units + cost, free_cpus, finish, index, start, duration_s)
 
-    def _fetch_ends_at(self, job: PendingJob, index: int) -> float:
-        """When a fetch of the job's image that follows all others on the machine is through."""
+    def _image_fetch_end(self, job: PendingJob, index: int) -> float:
+        """Return when a fetch of the job's image ends if it follows all others on the machine."""
         snapshot = self.snapshots[index]
         free_at = self._fetch_free_at.get(index, snapshot.fetch_free_at)
         return max(self.now, free_at) + job.image_gb / snapshot.fetch_gb_per_s
 
     def book(self, job: PendingJob, index: int, start: float, duration_s: float) -> None:
-        """Reserve the room of one task, and its image's fetch, on the machine."""
+        """Reserve the resources of one task on the machine, and its image fetch if needed."""
         profile = self._profiles[index]
         if index not in self._copied:
             self._copied.add(index)
             profile = self._profiles[index] = profile.copy()
         profile.book(start if start > self.now else profile.times[0], duration_s, job.resources)
         fetch = (index, job.image)
-        if job.image not in self.snapshots[index].images and fetch not in self._fetched_at:
-            fetched_at = self._fetch_ends_at(job, index)
-            self._fetched_at[fetch] = self._fetch_free_at[index] = fetched_at
+        if job.image not in self.snapshots[index].images and fetch not in self._fetch_ends_at:
+            fetch_ends_at = self._image_fetch_end(job, index)
+            self._fetch_ends_at[fetch] = self._fetch_free_at[index] = fetch_ends_at
 
-    def with_room_for(self, job: PendingJob) -> list[int]:
-        """The machines on which a task of the job could start now."""
+    def machines_with_room(self, job: PendingJob) -> list[int]:
+        """Return the machines on which a task of the job could start now, by index."""
         if self._known_to_fit_nowhere(job.resources):
             return []
         profiles, snapshots, resources = self._profiles, self.snapshots, job.resources
@@ -133,11 +145,11 @@
         )
 
     def by_next_change(self, excluded: set[int], allow_spot: bool) -> list[NextChange]:
-        """The machines but the excluded ones, in the order in which their room next changes.
+        """Return the machines that are not excluded, sorted by when their free resources change.
 
-        One that has some room, but not enough, is like those without: more comes with its next
-        change, not before. Jobs that may not use spot machines get the others alone: a tenth of
-        some fleets. Not to be changed by the caller.
+        Machines with too little room for the job are included beside the full ones, because they
+        have no more before their next change. Jobs that may not use spot machines get only the
+        others, which are a tenth of some fleets. The caller must not change the list.
         """
         profiles, snapshots = self._profiles, self.snapshots
         partly_full = [
@@ -145,10 +157,10 @@
             for index in self._with_room
             if index not in excluded and (allow_spot or not snapshots[index].spot)
         ]
-        full = self._full if allow_spot else self._non_spot()
+        full = self._full if allow_spot else self._list_full_non_spot()
         return sorted(partly_full + full) if partly_full else full
 
-    def _non_spot(self) -> list[NextChange]:
+    def _list_full_non_spot(self) -> list[NextChange]:
         if self._full_non_spot is None:
             self._full_non_spot = [
                 entry for entry in self._full if not self.snapshots[entry[1]].spot
@@ -156,12 +168,15 @@
         return self._full_non_spot
 
     def prune(self, resources: Resources, starts: int) -> bool:
-        """Count machines without room for the resources as full; False: none has any.
+        """Count machines without room for the resources as full; return whether any has room.
 
-        `starts` is how many tasks the plan has started: after few further ones for the same
-        resources little has changed, and nothing is done.
+        `starts` is how many tasks the plan has started so far. Nothing is done if fewer than
+        `PRUNE_INTERVAL_STARTS` of them came after the last call that pruned for the same resources.
         """
-        if resources == self._pruned_for and starts < self._starts_when_pruned + PRUNE_STARTS:
+        if (
+            resources == self._pruned_for
+            and starts < self._starts_when_pruned + PRUNE_INTERVAL_STARTS
+        ):
             return bool(self._with_room)
         self._pruned_for, self._starts_when_pruned = resources, starts
         kept: list[int] = []
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -1,8 +1,8 @@
-"""A plan: the queue's tasks booked on the machines, in order (T 3-2, T 3-4).
+"""A plan: the tasks of the queue booked on machines, in queue order (T 3-2, T 3-4).
 
-Pure: snapshots of a shard's machines and its pending jobs go in, bookings that start now come
-out. The profiles are made anew for each plan; bookings that start later only keep room for those
-ahead in the queue.
+The input is snapshots of a shard's machines and its pending jobs, the output the bookings that
+start now. Bookings that start later are not kept beyond the plan: they only reserve resources for
+jobs ahead in the queue while the rest of it is planned.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from fallpulley.placement.machine_pool import (
     EQUAL_FINISH_SHARE,
-    FUTURE_START_GRAINS,
-    MIN_GRAIN_S,
+    FUTURE_START_UNITS,
+    MIN_FINISH_UNIT_S,
     Candidate,
     MachinePool,
 )
@@ -23,36 +23,37 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import Resources
 
-# Exception 7: bookings for later only keep room free until the next plan, which comes long before
-# most of them: so many for each machine are made in one plan. Beyond them only room that is free
-# now is given out, and what was booked before stays protected.
+# Exception 7: how many bookings with a future start one plan makes, for each machine. They only
+# reserve resources until the next plan, which comes long before most of them start. Once they are
+# used up, the plan books only starts now, still without delaying the future bookings made before.
 FUTURE_BOOKINGS_PER_MACHINE = 0.25
 
 
 class Booking(msgspec.Struct):
-    """A task that is to start now."""
+    """A task that is to start now on a machine."""
 
     job_id: str
-    task_index: int  # in a plan: its number among the job's pending tasks
+    # `make_plan` numbers the bookings of a job; `plan_shard` puts the task's index in its place.
+    task_index: int
     machine_id: str
-    duration_s: float  # with the image fetch
+    duration_s: float  # estimated, with the image fetch
 
 
 class Plan(msgspec.Struct):
-    """What one pass over the queue has booked."""
+    """The bookings from one pass over the queue."""
 
     starts: list[Booking]
-    # Of urgent jobs: when their tasks' later bookings start, infinity for tasks without any.
-    later_starts: dict[str, list[float]] = {}
-    booked_later: int = 0
+    # By urgent job, the starts of its tasks that don't start now; infinity for tasks not booked.
+    future_starts: dict[str, list[float]] = {}
+    future_booking_count: int = 0  # number of bookings that don't start now
 
 
 def make_plan(jobs: list[PendingJob], snapshots: list[MachineSnapshot], now: float) -> Plan:
-    """Book the tasks of the queue, in order, each at its earliest finish."""
+    """Book the tasks of the queue in order, each with its earliest finish."""
     builder = _PlanBuilder(snapshots, now)
     queue = sorted(jobs, key=queue_order)
-    # Once no machine has room now for the least that is left, nothing further can start, and the
-    # rest of the queue need not be booked. Urgent jobs are, to learn which would wait too long.
+    # Once no machine has room now for the smallest demand of the remaining jobs, none of them can
+    # start, and the loop ends. Urgent jobs are still booked, to learn which would wait too long.
     for job, resources in zip(queue, _least_resources_left(queue), strict=True):
         has_room = builder.pool.prune(resources, len(builder.plan.starts))
         if not has_room and not job.urgent and not job.starved:
@@ -62,12 +63,12 @@
 
 
 def _least_resources_left(queue: list[PendingJob]) -> list[Resources]:
-    """For each job, the least of each resource that a task of it or of a later job needs."""
+    """Return for each job the least of each resource that it or any job behind it needs."""
     least: list[Resources] = []
     lowest = Resources(math.inf, math.inf, math.inf)
     for job in reversed(queue):
         cpus, gpus, memory_gb = job.resources
-        # Most jobs need no less than those after them: no new object for these.
+        # Most jobs need no less than those behind them, so no new object is made for them.
         if cpus < lowest.cpus or gpus < lowest.gpus or memory_gb < lowest.memory_gb:
             lowest = lowest.minimum(job.resources)
         least.append(lowest)
@@ -76,43 +77,43 @@
 
 
 class _PlanBuilder:
-    """One plan in the making."""
+    """Builds one plan, job by job."""
 
     def __init__(self, snapshots: list[MachineSnapshot], now: float) -> None:
         self.pool = MachinePool(snapshots, now)
         self.plan = Plan(starts=[])
-        self.later_bookings_left = max(1, int(FUTURE_BOOKINGS_PER_MACHINE * len(snapshots)))
+        self.future_bookings_left = max(1, int(FUTURE_BOOKINGS_PER_MACHINE * len(snapshots)))
 
     def place(self, job: PendingJob) -> None:
-        """Book as many of the job's tasks as there is room for."""
-        with_room = self.pool.with_room_for(job)
-        if with_room or self.later_bookings_left > 0:
+        """Book as many of the job's tasks as possible."""
+        with_room = self.pool.machines_with_room(job)
+        if with_room or self.future_bookings_left > 0:
             _JobPlacement(self, job, with_room).book_tasks()
         else:
-            # Nearly all of a long queue behind a full fleet: nothing can be booked.
+            # Nothing can be booked: the usual case for a long queue and a fully used fleet.
             self.note_unbooked(job, job.task_count)
 
     def note_unbooked(self, job: PendingJob, count: int) -> None:
-        """Tasks of an urgent job for which not even a later start was found."""
+        """Note for an urgent job that `count` of its tasks got no booking at all."""
         if job.urgent and count > 0:
-            self.plan.later_starts.setdefault(job.job_id, []).extend([math.inf] * count)
+            self.plan.future_starts.setdefault(job.job_id, []).extend([math.inf] * count)
 
 
 class _JobPlacement:
-    """The bookings of one job: its candidates, best first, and the zones still open to it.
+    """Books the tasks of one job: holds its candidates, best first, and its zone restrictions.
 
-    The first candidates are machines with room now. Others join in the order in which they get
-    room, and only while one of them could still beat the best candidate.
+    The first candidates are machines with room now. Other machines are added in the order in
+    which their free resources change, as long as one of them could beat the best candidate.
     """
 
     def __init__(self, builder: _PlanBuilder, job: PendingJob, with_room: list[int]) -> None:
-        """`with_room`: the machines, by index, on which a task of the job could start now."""
+        """Collect the candidates on `with_room`, the machines (by index) with room now."""
         self.builder, self.pool, self.plan = builder, builder.pool, builder.plan
         self.job = job
         self.zone = job.zone
         self.zone_limits = dict(job.zone_limits) if job.zone_limits is not None else None
-        self.grain_s = max(job.estimated_run_s * EQUAL_FINISH_SHARE, MIN_GRAIN_S)
-        self.first_start = len(self.plan.starts)
+        self.finish_unit_s = max(job.estimated_run_s * EQUAL_FINISH_SHARE, MIN_FINISH_UNIT_S)
+        self.first_start_index = len(self.plan.starts)
         self.booked_count = 0
         pool = self.pool
         self.candidates: list[Candidate] = [
@@ -120,38 +121,38 @@
         ]
         heapq.heapify(self.candidates)
         self.examined = set(with_room)
-        self.further = (
+        self.later_machines = (
             pool.by_next_change(self.examined, job.allow_spot)
-            if builder.later_bookings_left > 0
+            if builder.future_bookings_left > 0
             else []
         )
-        self.next_further = 0
+        self.next_later = 0
 
     def book_tasks(self) -> None:
-        """Book tasks until all are or nothing is left that they could get."""
+        """Book tasks until all are booked or no candidate is left."""
         job, builder, candidates = self.job, self.builder, self.candidates
         while self.booked_count < job.task_count:
-            if builder.later_bookings_left > 0:
-                self._add_further_candidates()
+            if builder.future_bookings_left > 0:
+                self._add_later_candidates()
             if not candidates:
                 break
             candidate = heapq.heappop(candidates)
-            if self._is_open(candidate):
+            if self._is_allowed(candidate):
                 self._book(candidate)
         builder.note_unbooked(job, job.task_count - self.booked_count)
         if job.all_at_once:
             self._withhold_incomplete_gang()
 
-    def _add_further_candidates(self) -> None:
-        """Add the machines that get room so early that they could beat the best candidate."""
-        job, pool, further, candidates = self.job, self.pool, self.further, self.candidates
-        # Local names: the loop goes over most machines for many jobs.
+    def _add_later_candidates(self) -> None:
+        """Add machines whose next change is early enough to beat the best candidate."""
+        job, pool, machines, candidates = self.job, self.pool, self.later_machines, self.candidates
+        # Local names for speed: for many jobs the loop visits most machines.
         examined, snapshots, now = self.examined, pool.snapshots, pool.now
-        run_s, grain_s = job.estimated_run_s, self.grain_s
-        position = self.next_further
-        while position < len(further):
-            changes_at, index = further[position]
-            lower_bound = (max(changes_at, now) + run_s) / grain_s + FUTURE_START_GRAINS - 0.5
+        run_s, finish_unit_s = job.estimated_run_s, self.finish_unit_s
+        position = self.next_later
+        while position < len(machines):
+            changes_at, index = machines[position]
+            lower_bound = (max(changes_at, now) + run_s) / finish_unit_s + FUTURE_START_UNITS - 0.5
             if candidates and lower_bound > candidates[0][0]:
                 break
             position += 1
@@ -160,20 +161,20 @@
             candidate = pool.earliest_finish(job, index)
             if candidate is not None:
                 heapq.heappush(candidates, candidate)
-        self.next_further = position
+        self.next_later = position
 
-    def _is_open(self, candidate: Candidate) -> bool:
-        """Whether the job's zones and the bound on later bookings allow the candidate."""
+    def _is_allowed(self, candidate: Candidate) -> bool:
+        """Return whether the zone restrictions and the limit on future bookings allow it."""
         _, _, _, index, start, _ = candidate
         zone = self.pool.snapshots[index].zone
         if self.zone is not None and zone != self.zone:
             return False
         if self.zone_limits is not None and self.zone_limits.get(zone, 0) <= 0:
             return False
-        return start <= self.pool.now or self.builder.later_bookings_left > 0
+        return start <= self.pool.now or self.builder.future_bookings_left > 0
 
     def _book(self, candidate: Candidate) -> None:
-        """Book a task, and make the machine a candidate for the next one."""
+        """Book a task with the candidate, and add the machine's candidate for the next task."""
         _, _, _, index, start, duration_s = candidate
         job, pool, plan = self.job, self.pool, self.plan
         snapshot = pool.snapshots[index]
@@ -187,19 +188,19 @@
                 Booking(job.job_id, self.booked_count, snapshot.machine_id, duration_s)
             )
         else:
-            plan.booked_later += 1
-            self.builder.later_bookings_left -= 1
+            plan.future_booking_count += 1
+            self.builder.future_bookings_left -= 1
             if job.urgent:
-                plan.later_starts.setdefault(job.job_id, []).append(start)
+                plan.future_starts.setdefault(job.job_id, []).append(start)
         self.booked_count += 1
-        following = pool.earliest_finish(job, index)
-        if following is not None:
-            heapq.heappush(self.candidates, following)
+        next_candidate = pool.earliest_finish(job, index)
+        if next_candidate is not None:
+            heapq.heappush(self.candidates, next_candidate)
 
     def _withhold_incomplete_gang(self) -> None:
-        """Start all of a gang's tasks or none: otherwise the bookings only keep the room."""
+        """Drop a gang's starts unless all of its tasks start; its resources stay reserved."""
         starts = self.plan.starts
-        count = len(starts) - self.first_start
+        count = len(starts) - self.first_start_index
         if count < self.job.task_count:
-            self.plan.booked_later += count
-            del starts[self.first_start :]
+            self.plan.future_booking_count += count
+            del starts[self.first_start_index :]
--- a/fallpulley/placement/profile.py
+++ b/fallpulley/placement/profile.py
@@ -1,4 +1,4 @@
-"""The conservative backfilling profile: free room on one machine over future time (T 3-2)."""
+"""The profile of conservative backfilling (T 3-2): a machine's free resources over time."""
 
 from __future__ import annotations
 
@@ -7,25 +7,27 @@
 
 from fallpulley.resources import Resources
 
-# Rounding left over from adding and subtracting decimal amounts.
+# Tolerance for rounding errors from adding and subtracting decimal amounts.
 EPSILON = 1e-6
 
 
-# A running task: the estimated time of its end, and the processors, accelerators and memory (GB)
-# that it holds until then. A plain tuple: one is made for each task of a machine that changed.
-Occupancy = tuple[float, float, float, float]
+# The estimated end of a running task, and the processors, accelerators and memory (GB) that it
+# holds until then. A plain tuple for speed: one is made for every task of each changed machine.
+HeldResources = tuple[float, float, float, float]
 
 
 class Profile:
-    """Steps of free room: step `i` lasts from `times[i]` until the next, the last one for ever.
+    """The free resources of one machine over time, as a step function.
 
-    Parallel lists, as the search for a start goes over them for every pair of job and machine.
+    Step `i` begins at `times[i]` and lasts until the next step begins; the last one has no end.
+    The amounts are kept in parallel lists for speed: the search for a start scans them for every
+    pair of job and machine.
     """
 
     __slots__ = ("cpus", "gpus", "memory_gb", "times")
 
-    def __init__(self, now: float, capacity: Resources, running: list[Occupancy]) -> None:
-        """The room that `running` leaves of the machine's capacity, from now on."""
+    def __init__(self, now: float, capacity: Resources, running: list[HeldResources]) -> None:
+        """Start at `now` with the part of the capacity that the running tasks leave free."""
         cpus, gpus, memory_gb = capacity
         by_end = sorted(running)
         for _, task_cpus, task_gpus, task_memory_gb in by_end:
@@ -44,14 +46,14 @@
                 if len(self.times) > 1:
                     self.cpus[-1], self.gpus[-1], self.memory_gb[-1] = cpus, gpus, memory_gb
                     continue
-                ends_at = now + EPSILON  # room is not free before it is reported free
+                ends_at = now + EPSILON  # an overdue task holds its resources until reported ended
             self.times.append(ends_at)
             self.cpus.append(cpus)
             self.gpus.append(gpus)
             self.memory_gb.append(memory_gb)
 
     def copy(self) -> Profile:
-        """A profile of the same steps, to book in without changing this one."""
+        """Return a copy with the same steps, so that bookings leave this profile unchanged."""
         other = Profile.__new__(Profile)
         other.times = self.times.copy()
         other.cpus = self.cpus.copy()
@@ -59,18 +61,21 @@
         other.memory_gb = self.memory_gb.copy()
         return other
 
-    def begin_at(self, now: float) -> None:
-        """Let a profile made earlier, of which nothing has changed since, begin now. What was
-        booked from its old beginning on could lie in the past altogether, and use no room."""
+    def advance_to(self, now: float) -> None:
+        """Move the beginning of a profile that was made earlier to `now`.
+
+        A booking made from the old beginning could end before `now` and so reserve nothing. The
+        profile stays as it is if its first step ends by then.
+        """
         if self.times[0] < now and (len(self.times) == 1 or self.times[1] > now):
             self.times[0] = now
 
     def next_change(self) -> float:
-        """When the present room first changes; infinity: never."""
+        """Return when the first step ends, or infinity if it is the only one."""
         return self.times[1] if len(self.times) > 1 else inf
 
     def earliest_start(self, resources: Resources, duration_s: float) -> float | None:
-        """The first time from which the resources are free for the duration; None: never."""
+        """Return the first time from which the resources are free for the duration, or None."""
         min_cpus = resources.cpus - EPSILON
         min_gpus = resources.gpus - EPSILON
         min_memory_gb = resources.memory_gb - EPSILON
@@ -97,7 +102,7 @@
         return None
 
     def book(self, start: float, duration_s: float, resources: Resources) -> None:
-        """Reserve the resources from `start` for the duration."""
+        """Reserve the resources from `start` on for the duration."""
         first = self._step_at(start)
         end = self._step_at(start + duration_s)
         for step in range(first, end):
@@ -106,7 +111,10 @@
             self.memory_gb[step] -= resources.memory_gb
 
     def _step_at(self, time: float) -> int:
-        """The index of the step that begins at `time`, split off if there is none."""
+        """Return the index of the step that begins at `time`; split a step if none does.
+
+        Times before the profile's beginning count as its beginning.
+        """
         step = bisect_right(self.times, time) - 1
         if step < 0:
             return 0
@@ -119,7 +127,7 @@
         return step + 1
 
     def fits_now(self, resources: Resources) -> bool:
-        """Whether the resources are free at the beginning of the profile."""
+        """Return whether the resources are free at the beginning of the profile."""
         return (
             self.cpus[0] >= resources.cpus - EPSILON
             and self.memory_gb[0] >= resources.memory_gb - EPSILON
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -1,4 +1,4 @@
-"""Pending jobs and the order of their queue (T 3-1, Fig. 3-3)."""
+"""Pending jobs and their order in the queue (T 3-1, Fig. 3-3)."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import TOLERANCE, Resources
 
-# Jobs of this priority level and above are urgent: they are served before all others.
+# Jobs of this priority level and above are urgent: they are placed before the others.
 URGENT_PRIORITY_LEVEL = 2
 
+# The sort key of a job in the queue: the smallest key is placed first.
 QueueKey = tuple[float, float, float, float, float, float]
 
 
@@ -18,38 +19,42 @@
 
     job_id: str
     resources: Resources  # of each task
-    estimated_run_s: float
-    task_count: int  # how many may be placed
+    estimated_run_s: float  # of one task, in seconds, without the image fetch
+    task_count: int  # how many tasks may be placed
     image: str
     image_gb: float
-    remaining_s: float  # estimated remaining time of the job: its place in the queue
-    overdue: bool  # waited past the age bound
+    remaining_s: float  # estimated remaining time of the job, in seconds
+    overdue: bool  # placed before jobs that are not: past its age bound, or about to be late
     submitted_at: float  # seconds since the epoch; of a pipeline's job, when it became ready
     allow_spot: bool
-    priority_level: int = 1  # the job's priority class
-    machine_types: list[str] | None = None
-    zone: str | None = None
-    zone_limits: dict[str, int] | None = None  # for jobs spread over zones: tasks yet to come
-    one_zone: bool = False
-    avoided_machines: set[str] | None = None  # machines where it failed
-    all_at_once: bool = False  # all tasks start at one time, or none
-    starved: bool = False  # the first tasks of a job that has waited too long for any
+    priority_level: int = 1  # level of the job's priority, higher is more urgent
+    machine_types: list[str] | None = None  # None: all types are allowed
+    zone: str | None = None  # None: all zones are allowed
+    zone_limits: dict[str, int] | None = None  # how many more tasks each zone may get (spread jobs)
+    one_zone: bool = False  # all tasks have to run in the same zone
+    avoided_machines: set[str] | None = None  # machines on which the job failed
+    all_at_once: bool = False  # a gang: all tasks start at the same time, or none
+    starved: bool = False  # the first tasks of a job that has waited too long to begin
 
     @property
     def urgent(self) -> bool:
-        """It is in the queue that goes before the rest (exception 2)."""
+        """Whether the job is placed before those of lower priority (exception 2)."""
         return self.priority_level >= URGENT_PRIORITY_LEVEL
 
 
 def queue_order(job: PendingJob) -> QueueKey:
-    """Shortest estimated remaining time first (T 3-1); overdue jobs before the others.
-
-    Tasks of a job have equal upward rank (none has children), so their order is free.
-    Exception 2: urgent jobs form a queue of their own before the rest, or those with long tasks
-    would wait behind every short one of lower priority. Exception 5: the age bound does not cross
-    the two: room made by stopping an old job's tasks would go back to that same job.
-    Exception 6: the first tasks of a job that none of has run for too long go before all, or in
-    a lasting burst of urgent or of short work the largest jobs would never begin.
+    """Return the sort key: overdue jobs first, then the shortest remaining time (T 3-1).
+
+    The tasks of a job have equal upward rank (none has children), so their order does not matter.
+
+    Exception 2: urgent jobs come before all others. Otherwise urgent jobs with long tasks would
+    wait behind every shorter job of lower priority.
+
+    Exception 5: an overdue job of lower priority does not overtake urgent jobs. Otherwise the
+    resources freed by stopping its tasks for an urgent job would go back to that same job.
+
+    Exception 6: the first tasks of a starved job come before everything else. Otherwise the
+    largest jobs would never begin while a burst of urgent or short work lasts.
     """
     if job.starved:
         return (0, 0, 0, job.submitted_at, 0.0, 0.0)
@@ -59,13 +64,14 @@
 
 
 def is_eligible(job: PendingJob, snapshot: MachineSnapshot) -> bool:
-    """Whether the job's tasks may run on the machine, were it empty."""
+    """Return whether the job's tasks may run on the machine and would fit if it were empty."""
     return (
         (job.allow_spot or not snapshot.spot)
         and (job.machine_types is None or snapshot.machine_type in job.machine_types)
         and (job.zone is None or snapshot.zone == job.zone)
         and (job.avoided_machines is None or snapshot.machine_id not in job.avoided_machines)
-        # Resources.fits_in without its call: this is asked for most pairs of job and machine.
+        # `Resources.fits_in` written out to save the call: this runs for most pairs of job and
+        # machine.
         and job.resources.cpus <= snapshot.capacity.cpus + TOLERANCE
         and job.resources.gpus <= snapshot.capacity.gpus + TOLERANCE
         and job.resources.memory_gb <= snapshot.capacity.memory_gb + TOLERANCE
--- a/fallpulley/placement/remaining_time.py
+++ b/fallpulley/placement/remaining_time.py
@@ -1,4 +1,4 @@
-"""A job's estimated remaining time (T 3-1, Fig. 3-2): its place in the queue."""
+"""The estimated remaining time of a job (T 3-1, Fig. 3-2), by which the queue is ordered."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import Resources
 
-# Halvings of the interval that holds the schedule's length: to a four-thousandth of it.
+# Bisection steps for the length of a schedule: 12 narrow the interval to 1/4096 of its width.
 BISECTION_STEPS = 12
 
-# Machines that are alike to a list schedule: capacity and slowness -> how many there are.
+# The number of machines by capacity and slowness: machines equal in both are interchangeable in a
+# list schedule.
 MachineShapes = dict[tuple[Resources, float], int]
-# How many tasks machines of one shape run side by side, and how long each of them takes there. A
-# plain tuple, since the schedule's length is searched with it for every job: with a NamedTuple,
-# whose unpacking is slower, the estimate took a quarter longer.
-_Places = tuple[int, float]
+# How many tasks the machines of one shape run in parallel (their slots), and the run time of each
+# task there in seconds. A plain tuple, because the search for the schedule's length unpacks it for
+# every job: with a NamedTuple, which unpacks more slowly, the estimate took a quarter longer.
+_TaskSlots = tuple[int, float]
 
 
 def count_shapes(snapshots: Iterable[MachineSnapshot]) -> MachineShapes:
-    """How many machines there are of each capacity and slowness."""
+    """Count the machines of each capacity and slowness."""
     shapes: MachineShapes = {}
     for snapshot in snapshots:
         shape = (snapshot.capacity, snapshot.slowness)
@@ -31,29 +32,29 @@
 def remaining_time(
     resources: Resources, estimated_run_s: float, task_count: int, shapes: MachineShapes
 ) -> float:
-    """The seconds that a list schedule of the job's tasks alone takes (T 3-1, Fig. 3-2).
+    """Return the length in seconds of a list schedule of only this job's tasks (T 3-1, Fig. 3-2).
 
-    All tasks are alike, so the schedule's length is the least time in which the machines'
-    places, each running its tasks one after the other, hold them all. Infinity: no machine is
+    The tasks are equal, so the length is the shortest time in which the slots of all machines,
+    each running one task after the other, complete `task_count` tasks. Infinity if no machine is
     large enough for a task.
     """
     if task_count <= 0:
         return 0.0
-    places = _places(resources, estimated_run_s, task_count, shapes)
-    if not places:
+    slots = _task_slots(resources, estimated_run_s, task_count, shapes)
+    if not slots:
         return math.inf
-    shortest_s = min(run_s for _, run_s in places)
-    if all(run_s == shortest_s for _, run_s in places):
-        # Nearly always: no machine is clearly slower than the others.
-        return shortest_s * math.ceil(task_count / sum(count for count, _ in places))
-    return _schedule_length(places, task_count, shortest_s)
+    shortest_s = min(run_s for _, run_s in slots)
+    if all(run_s == shortest_s for _, run_s in slots):
+        # The usual case: all machines are equally fast, and the length needs no search.
+        return shortest_s * math.ceil(task_count / sum(count for count, _ in slots))
+    return _schedule_length(slots, task_count, shortest_s)
 
 
-def _places(
+def _task_slots(
     resources: Resources, estimated_run_s: float, task_count: int, shapes: MachineShapes
-) -> list[_Places]:
-    """The places for a task of the job on each shape of machine that has any."""
-    places: list[_Places] = []
+) -> list[_TaskSlots]:
+    """Return the slots for the job's tasks on each machine shape that is large enough for one."""
+    slots: list[_TaskSlots] = []
     for (capacity, slowness), machines in shapes.items():
         per_machine = min(
             int((available + 1e-6) / needed) if needed > 0 else task_count
@@ -61,19 +62,19 @@
         )
         if per_machine > 0:
             count = min(per_machine, task_count) * machines
-            places.append((count, estimated_run_s * slowness))
-    return places
+            slots.append((count, estimated_run_s * slowness))
+    return slots
 
 
-def _schedule_length(places: list[_Places], task_count: int, shortest_s: float) -> float:
-    """By bisection, the least time in which places of different speed run all tasks."""
-    tasks_per_s = sum(count / run_s for count, run_s in places)
-    longest_s = max(run_s for _, run_s in places)
-    high = longest_s * (1 + task_count / sum(count for count, _ in places)) + shortest_s
+def _schedule_length(slots: list[_TaskSlots], task_count: int, shortest_s: float) -> float:
+    """Find by bisection the shortest time in which slots of different speed run all tasks."""
+    tasks_per_s = sum(count / run_s for count, run_s in slots)
+    longest_s = max(run_s for _, run_s in slots)
+    high = longest_s * (1 + task_count / sum(count for count, _ in slots)) + shortest_s
     low = max(shortest_s, (task_count / tasks_per_s) * 0.5)
     for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2
-        if sum(count * int(middle / run_s + 1e-9) for count, run_s in places) >= task_count:
+        if sum(count * int(middle / run_s + 1e-9) for count, run_s in slots) >= task_count:
             high = middle
         else:
             low = middle
--- a/fallpulley/placement/victims.py
+++ b/fallpulley/placement/victims.py
@@ -1,8 +1,8 @@
-"""Which tasks to stop for an urgent one: the one exception to MOWS's queue (exception 4).
+"""Preemption: selects the running tasks to stop for urgent ones (exception 4).
 
-The thesis's own preemption (T 3-3) is within one workflow and is left out. This one serves the
-objective on starting that users state for a class (`wait`): an urgent task that would wait too
-long gets the room of tasks of lower priority whose stop loses least.
+Users may state an objective of kind `wait` for a class: how soon its tasks should start. An urgent
+task that would miss it gets the resources of tasks of lower priority, those whose stop loses the
+least work. The preemption of the thesis (T 3-3) acts within one workflow and is not implemented.
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import Resources
 
-# Work lost for a task may be at most this share of what the task itself brings.
+# The work lost by making room for a task may be at most this share of the task's own work.
 MAX_LOST_WORK_SHARE = 0.5
 
 
 class Victim(msgspec.Struct):
-    """A running task of lower priority, and the processor-seconds its stop would lose."""
+    """A running task that may be stopped to make room for an urgent one."""
 
     task_id: str
     priority_level: int
     resources: Resources
-    lost_work: float
+    lost_work: float  # by its stop, in processor-seconds
 
 
 class Preemption(msgspec.Struct):
-    """Tasks to stop on one machine."""
+    """The tasks to stop on one machine."""
 
     machine_id: str
     task_ids: list[str]
 
 
 class _VictimSet(NamedTuple):
-    """Tasks whose stop makes room for one task; none where there is room already."""
+    """The victims whose stop makes room for one task; empty if there is room already."""
 
-    lost_work: float
+    lost_work: float  # by all their stops, in processor-seconds
     victims: list[Victim]
 
 
-class _Offer(NamedTuple):
-    """The room that a machine can make, the cheapest first."""
+class _PlacementOption(NamedTuple):
+    """A way to make room for one task on one machine; the cheapest sorts first."""
 
-    cost: float  # processor-seconds: the work lost, and the processors idle during a fetch
+    cost: float  # processor-seconds: work lost, and processors idle during the image fetch
     machine_index: int
     victims: list[Victim]
 
 
-class _VictimChoice:
-    """The machines on which one job's tasks may get room, cheapest first."""
+class _VictimSelection:
+    """Selects machines and victims for the tasks of one job, the cheapest first."""
 
     def __init__(
         self,
@@ -71,16 +71,16 @@
         self.max_lost_work = (
             MAX_LOST_WORK_SHARE * job.estimated_run_s * max(job.resources.cpus, 1.0)
         )
-        self.preempted: dict[str, set[str]] = {}  # machine -> tasks
-        self.offers = [
-            offer
+        self.preempted: dict[str, set[str]] = {}  # task ids by machine id
+        self.options = [
+            option
             for index, snapshot in enumerate(snapshots)
-            if is_eligible(job, snapshot) and (offer := self._offer(index))
+            if is_eligible(job, snapshot) and (option := self._placement_option(index))
         ]
-        heapq.heapify(self.offers)
+        heapq.heapify(self.options)
 
-    def _offer(self, index: int) -> _Offer | None:
-        """What room for a task costs on the machine; None: too much, or there is not enough."""
+    def _placement_option(self, index: int) -> _PlacementOption | None:
+        """Return how to make room for a task on the machine; None if impossible or too costly."""
         snapshot, job = self.snapshots[index], self.job
         chosen = _cheapest_victims(
             job, self.free[snapshot.machine_id], self.victims.get(snapshot.machine_id, [])
@@ -93,27 +93,29 @@
             if ready_at is None
             else max(0.0, ready_at - self.now)
         )
-        return _Offer(chosen.lost_work + fetch_s * job.resources.cpus, index, chosen.victims)
+        return _PlacementOption(
+            chosen.lost_work + fetch_s * job.resources.cpus, index, chosen.victims
+        )
 
     def make_room(self) -> bool:
-        """Make room for one more task at the cheapest machine; False: there is none."""
-        if not self.offers:
+        """Make room for one more task on the cheapest machine; return whether there was one."""
+        if not self.options:
             return False
-        offer = heapq.heappop(self.offers)
-        machine_id = self.snapshots[offer.machine_index].machine_id
+        option = heapq.heappop(self.options)
+        machine_id = self.snapshots[option.machine_index].machine_id
         free = self.free[machine_id]
-        for victim in offer.victims:
+        for victim in option.victims:
             free = free.plus(victim.resources)
         self.free[machine_id] = free.minus(self.job.resources)
-        if offer.victims:
-            stopped = {victim.task_id for victim in offer.victims}
+        if option.victims:
+            stopped = {victim.task_id for victim in option.victims}
             self.victims[machine_id] = [
                 victim for victim in self.victims[machine_id] if victim.task_id not in stopped
             ]
             self.preempted.setdefault(machine_id, set()).update(stopped)
-        following = self._offer(offer.machine_index)
-        if following is not None:
-            heapq.heappush(self.offers, following)
+        next_option = self._placement_option(option.machine_index)
+        if next_option is not None:
+            heapq.heappush(self.options, next_option)
         return True
 
 
@@ -125,24 +127,27 @@
     victims: dict[str, list[Victim]],
     now: float,
 ) -> list[Preemption]:
-    """The stops that make room for so many tasks of the job, each where it costs least.
+    """Select the tasks to stop so that up to `task_count` tasks of the job get room.
 
-    `free` and `victims`, by machine, shrink by what was chosen. A machine's victims are in the
-    order in which they are to be stopped.
+    Each task gets the machine on which room costs least. `free` and `victims`, both by machine id,
+    are changed in place: the chosen victims and the resources given to the job are taken out. The
+    victims of a machine are chosen in the order in which they are listed.
     """
-    choice = _VictimChoice(job, snapshots, free, victims, now)
+    selection = _VictimSelection(job, snapshots, free, victims, now)
     for _ in range(task_count):
-        if not choice.make_room():
+        if not selection.make_room():
             break
     return [
         Preemption(machine_id, sorted(task_ids))
-        for machine_id, task_ids in choice.preempted.items()
+        for machine_id, task_ids in selection.preempted.items()
     ]
 
 
 def _cheapest_victims(job: PendingJob, free: Resources, victims: list[Victim]) -> _VictimSet | None:
-    """The victims to stop on one machine, in their order, until a task of the job fits; None: it
-    does not fit with all of them stopped."""
+    """Take victims of one machine in their order until a task of the job fits.
+
+    None if it does not fit even with all of them stopped.
+    """
     chosen: list[Victim] = []
     lost_work = 0.0
     for victim in victims:
@@ -159,7 +164,10 @@
 
 
 def _covers(free: Resources, needed: Resources) -> bool:
-    """As a profile compares them (`Profile.fits_now`), so that what is freed fits there too."""
+    """Return whether the resources are free, with the tolerance of `Profile.fits_now`.
+
+    With the same tolerance, a task that fits here also fits in the next plan.
+    """
     return (
         free.cpus >= needed.cpus - EPSILON
         and free.gpus >= needed.gpus - EPSILON
--- a/fallpulley/scheduling/age_bound.py
+++ b/fallpulley/scheduling/age_bound.py
@@ -1,4 +1,7 @@
-"""Jobs that have waited for too long: the age bound, and exceptions 6 and 9 to shortest-first."""
+"""Rules for jobs that have waited too long: the age bound, exception 6 and exception 9.
+
+They place such jobs ahead of the shortest-first order of the queue.
+"""
 
 from __future__ import annotations
 
@@ -9,26 +12,29 @@
 from fallpulley.placement.queue import PendingJob, queue_order
 from fallpulley.shards.shard import Shard
 
-# Of a job that no task of has run for long, the share of tasks that go before all others: enough
-# for it to begin and to learn its run times, too little to hold up the rest.
+# The share of a starved job's tasks that are placed before all other jobs: enough to start the job
+# and to learn its run times, too few to delay the others.
 FIRST_TASKS_SHARE = 0.05
-# Of the longest time within which a class's tasks should start, the share after which a job of it
-# counts as past its age bound: few of its tasks may be later, and shortest-first leaves the long
-# ones to the end of every backlog. Only for as much as so large a share of the fleet holds: where
-# more is late, going by age gives up the short jobs as well.
+# The share of the longest `wait` objective of a class after which a job of it is late. Only few
+# tasks may miss that objective, and shortest-first leaves long jobs to the end of every backlog.
 LATE_START_SHARE = 0.6
+# The largest share of the fleet's processors that late jobs may need to be placed first. Where more
+# jobs are late, placing them by age would make the short jobs miss the objective too.
 MAX_LATE_WORK_SHARE = 0.25
 
 
 def waited_past_age_bound(job: OpenJob, context: ControllerContext, estimate_s: float) -> bool:
-    """The age bound: the job has been ready for longer than so many of its tasks' run times."""
+    """Return whether the job has been ready for more than `age_bound` run times of its tasks."""
     waited_s = (context.wall_time * 1000 - job.ready_since_ms) / 1000
     return waited_s > context.settings.operators.age_bound * estimate_s
 
 
-def first_tasks(job: OpenJob, context: ControllerContext) -> int:
-    """How many tasks of a job go before all others (exception 6): none, unless the job has
-    waited for long and none of its tasks has completed."""
+def first_task_count(job: OpenJob, context: ControllerContext) -> int:
+    """Return how many tasks of the job are placed before all other jobs (exception 6).
+
+    Zero unless the job is starved: none of its tasks has completed, and it has been ready for
+    `begin_bound_s` seconds or longer.
+    """
     waited_s = context.wall_time - job.ready_since_ms / 1000
     if job.progress.completed.count or waited_s < context.settings.operators.begin_bound_s:
         return 0
@@ -38,8 +44,11 @@
 def promote_late_jobs(
     jobs: list[PendingJob], shard: Shard, context: ControllerContext, fleet_cpus: float
 ) -> None:
-    """Count jobs about to miss their class's objective on starting as past the age bound
-    (exception 9), the shortest first, as far as they fit into their share of the fleet."""
+    """Mark jobs as overdue that are about to miss their class's `wait` objective (exception 9).
+
+    In queue order, until their tasks would need more than `MAX_LATE_WORK_SHARE` of the fleet's
+    processors, `fleet_cpus`.
+    """
     bounds = _start_bounds(context)
     if not bounds:
         return
@@ -62,8 +71,11 @@
 
 
 def _start_bounds(context: ControllerContext) -> dict[str, float]:
-    """By class with an objective on starting, the seconds after which a job counts as late. Where
-    jobs have deadlines, made from their estimates, shortest-first serves more of them."""
+    """Return after how many seconds of waiting jobs are late, by class with a `wait` objective.
+
+    Classes that also have a deadline objective are left out: their deadlines follow from the
+    estimates of the jobs, and shortest-first meets more of them.
+    """
     bounds: dict[str, float] = {}
     objectives = context.settings.facts.objectives
     with_deadlines = {
--- a/fallpulley/scheduling/pending_jobs.py
+++ b/fallpulley/scheduling/pending_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs of a shard with tasks to place, for a plan."""
+"""The queue of a plan: the jobs of a shard that have tasks to place."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from fallpulley.placement.remaining_time import MachineShapes, count_shapes, remaining_time
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.scheduling.age_bound import (
-    first_tasks,
+    first_task_count,
     promote_late_jobs,
     waited_past_age_bound,
 )
@@ -21,7 +21,7 @@
 from fallpulley.settings import Team
 from fallpulley.shards.shard import Shard
 
-# Read for every task or job: a member of an enum takes ten times as long to look up.
+# Read for every job: looking up an enum member takes ten times as long as a module constant.
 _GANG = JobKind.GANG
 
 
@@ -31,12 +31,12 @@
     teams: dict[str, Team],
     snapshots: list[MachineSnapshot],
 ) -> list[PendingJob]:
-    """The jobs with tasks to place, in queue order, within their teams' limits."""
+    """Return the jobs with tasks to place, in queue order, within the limits of their teams."""
     pending: list[PendingJob] = []
     shapes = count_shapes(snapshots)
     limits = TeamLimits(shard, teams)
     for job in shard.jobs.values():
-        if not _may_be_placed(job, shard, context.now) or limits.forbid(job):
+        if not _may_be_placed(job, shard, context.now) or limits.must_wait(job):
             continue
         task_count = job.waiting_count()
         if not task_count or job.gang.restarting:
@@ -51,7 +51,7 @@
 
 
 def _may_be_placed(job: OpenJob, shard: Shard, now: float) -> bool:
-    """Whether the job's tasks may start: it is open, ready, and none runs where we cannot see."""
+    """Return whether the job is open and ready, and all its running tasks are known here."""
     return not (
         job.cancelled
         or job.finished
@@ -64,15 +64,15 @@
 def _split_first_tasks(
     entry: PendingJob, job: OpenJob, context: ControllerContext
 ) -> list[PendingJob]:
-    """The entry, preceded by one for the first tasks of a job that has waited for too long."""
-    first_count = first_tasks(job, context) - len(job.runs)
+    """Return the entry, preceded by one for the first tasks if the job is starved (exception 6)."""
+    first_count = first_task_count(job, context) - len(job.runs)
     if first_count <= 0:
         return [entry]
-    # Without an end to it, shortest-first and the urgent queue would starve the rest.
+    # Otherwise a steady flow of shorter or urgent jobs would starve this one.
     first_count = entry.task_count if entry.all_at_once else min(first_count, entry.task_count)
     first = msgspec.structs.replace(entry, task_count=first_count, starved=True)
     if job.spec.one_zone or job.spec.spread:
-        return [first]  # booked in two parts, each would keep to its zones without the other
+        return [first]  # as two entries, each would choose its zones without the other
     entry.task_count -= first_count
     return [first, entry]
 
@@ -110,7 +110,7 @@
 
 
 def _update_remaining_time(job: OpenJob, estimate_s: float, shapes: MachineShapes) -> None:
-    """Estimate the job's remaining time (T 3-1) anew, unless nothing has changed that counts."""
+    """Estimate the job's remaining time (T 3-1) again if any input of the estimate changed."""
     unfinished = job.spec.task_count - job.progress.completed.count
     inputs = (unfinished, shapes, round(estimate_s, 1))
     if inputs != job.urgency.remaining_inputs:
@@ -119,7 +119,10 @@
 
 
 def _zone(job: OpenJob, shard: Shard) -> str | None:
-    """The zone that the job is bound to; one for all of its tasks: where the first ones run."""
+    """Return the zone in which the job's tasks must run, None for any.
+
+    A job that needs one zone for all of its tasks is bound to that of its running ones.
+    """
     if job.spec.one_zone and job.runs:
         run = next(iter(job.runs.values()))
         return shard.machines[run.machine_id].entry.zone
@@ -127,7 +130,10 @@
 
 
 def _zone_limits(job: OpenJob, shard: Shard) -> dict[str, int]:
-    """Of a job spread over zones, how many more tasks each zone may get."""
+    """Return how many more tasks of the spread job each zone may get.
+
+    A zone may run half of the job's tasks, rounded up.
+    """
     limit = math.ceil(job.spec.task_count / 2)
     limits = dict.fromkeys((machine.entry.zone for machine in shard.machines.values()), limit)
     for run in job.runs.values():
@@ -137,8 +143,10 @@
 
 
 def _avoided_machines(job: OpenJob, shard: Shard) -> set[str] | None:
-    """The machines on which the job failed; not if these are all there are: closed to it, they
-    would stand idle beside it."""
+    """Return the machines on which the job failed, None if there are none.
+
+    None also if these are all machines of the shard: otherwise the job would wait while they idle.
+    """
     failed = job.retry.failed_machines or None
     if failed is not None and failed >= shard.machines.keys():
         return None
--- a/fallpulley/scheduling/planner.py
+++ b/fallpulley/scheduling/planner.py
@@ -1,4 +1,4 @@
-"""When the shards of a controller are planned, and what becomes of a plan."""
+"""Decides when the shards of a controller are planned, and carries the plans out."""
 
 from __future__ import annotations
 
@@ -8,33 +8,34 @@
 from fallpulley.scheduling.shard_plan import plan_shard
 from fallpulley.shards.agent import ShardAgent
 
-# The next plan waits so many times what the last one took: a twentieth of the time is for
-# planning. Where that would be longer than a part of a heartbeat interval, room would stand idle
-# for what it saves: then up to a fifth of the time is.
+# The wait before the next plan, as a multiple of the duration of the last one: planning takes about
+# a twentieth of the time. The wait is limited to MAX_WAIT_INTERVALS heartbeat intervals, since free
+# resources stay idle meanwhile, but not below the second multiple: planning takes at most a fifth.
 WAIT_PER_PLAN_TIME, MIN_WAIT_PER_PLAN_TIME = 20.0, 4.0
 MAX_WAIT_INTERVALS = 0.15
-# Plans lie at least so many heartbeat intervals apart: what comes between is planned together.
+# The least wait in heartbeat intervals: changes that arrive during it are planned together.
 MIN_WAIT_INTERVALS = 1.0 / 20.0
-# Estimates run out while nothing happens: plan again at least every so many heartbeat intervals.
+# All shards are planned at least once in this many heartbeat intervals, since estimated ends of
+# tasks pass also while no event arrives.
 REPLAN_INTERVALS = 1.0
-# A machine whose next heartbeat is due within this share of an interval need not be prompted.
+# A machine whose next heartbeat is due within this share of an interval is not asked for one.
 PROMPT_INTERVALS = 0.25
 
 
 class Planner:
-    """Plans the shards in which something changed, as often as plans are cheap."""
+    """Plans the shards in which something changed, less often if planning takes long."""
 
     def __init__(self, context: ControllerContext, registry: Registry, jobs: JobService) -> None:
         self.context = context
         self.registry = registry
         self.jobs = jobs
-        self.ready_at = float("-inf")  # the next plan is made from then on
+        self.next_plan_at = float("-inf")  # no plan is made earlier
         self._replan_at = float("-inf")
 
     def plan(self, agents: dict[str, ShardAgent]) -> bool:
-        """Plan the shards that need it, if it is time; returns whether any was planned."""
+        """Plan the shards that need it if the wait is over; return whether any was planned."""
         now = self.context.now
-        if now < self.ready_at:
+        if now < self.next_plan_at:
             return False
         replan = now >= self._replan_at
         began = self.context.clock()
@@ -46,7 +47,7 @@
         return bool(planned)
 
     def _plan_shard(self, agent: ShardAgent) -> None:
-        """Plan one shard: its bookings go out with heartbeats, its stops at once."""
+        """Plan one shard: send stops at once, starts with the responses to heartbeats."""
         shard = agent.shard
         shard.needs_replan = False
         decision = plan_shard(shard, self.context, self.registry, self.jobs.teams)
@@ -56,15 +57,15 @@
         self._prompt_heartbeats(agent)
 
     def _schedule_next(self, plan_s: float) -> None:
-        """Set the time of the next plan by what this one took."""
+        """Set the time of the next plan from the duration of this one."""
         interval_s = self.context.timing.heartbeat_interval_s
         wait_s = min(plan_s * WAIT_PER_PLAN_TIME, MAX_WAIT_INTERVALS * interval_s)
         wait_s = max(wait_s, plan_s * MIN_WAIT_PER_PLAN_TIME, MIN_WAIT_INTERVALS * interval_s)
-        self.ready_at = self.context.now + wait_s
+        self.next_plan_at = self.context.now + wait_s
         self._replan_at = self.context.now + REPLAN_INTERVALS * interval_s
 
     def _prompt_heartbeats(self, agent: ShardAgent) -> None:
-        """Ask machines with new bookings for a heartbeat now, unless theirs is due soon."""
+        """Ask machines with bookings for a heartbeat now, unless their next one is due soon."""
         interval_s = self.context.timing.heartbeat_interval_s
         soon = self.context.now + PROMPT_INTERVALS * interval_s
         for machine_id in agent.shard.bookings:
--- a/fallpulley/scheduling/preemption.py
+++ b/fallpulley/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Stops for urgent tasks that would wait for too long (exception 4)."""
+"""Preemption for urgent tasks that would start too late (exception 4)."""
 
 from __future__ import annotations
 
@@ -11,35 +11,36 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.placement.victims import Preemption, Victim, choose_victims
 from fallpulley.resources import Resources
-from fallpulley.scheduling.age_bound import first_tasks
+from fallpulley.scheduling.age_bound import first_task_count
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import TaskRun
 from fallpulley.workers.messages import TaskState
 
-# Read for every task or job: a member of an enum takes ten times as long to look up.
+# Read for every task: looking up an enum member takes ten times as long as a module constant.
 _SAVING = TaskState.SAVING
 
-# From a stop to the start in its place: a part of a heartbeat interval, and the seconds that a
-# stopped task is taken to need.
-STOP_INTERVALS, STOP_SECONDS = 0.5, 1.0
-# Of the time within which a class's tasks should start, the share they may wait for room;
-# the rest is for the stop, the next heartbeat and the image.
+# Estimated delay from a stop to the start of the urgent task in its place: this share of a
+# heartbeat interval, plus the seconds that a stopped task needs to exit.
+STOP_HEARTBEAT_INTERVALS, STOP_SECONDS = 0.5, 1.0
+# The share of the time within which a class's tasks should start that they may wait for resources;
+# the rest is for the stop, the next heartbeat and the image fetch.
 MAX_ROOM_WAIT_SHARE = 0.25
-# Of the work since the last checkpoint, a task has on average half an interval to lose.
+# The expected time since a task's last checkpoint, as a share of its checkpoint interval.
 CHECKPOINT_LOSS_SHARE = 0.5
-# Amounts so small that they would make a loss nothing, or a division fail, count as these.
+# Lower bounds for a task's lost seconds and its processors: with zero, a loss would count as
+# nothing or a division would fail.
 MIN_LOST_SECONDS, MIN_CPUS = 0.1, 0.1
 
 
 class _LateJob(NamedTuple):
-    """An urgent job, and how many of its tasks would start too late."""
+    """An urgent job, and the number of its tasks that would start too late."""
 
     job: PendingJob
     task_count: int
 
 
 class _Restrictions(NamedTuple):
-    """What decides, but for its size, on which machines a job may run."""
+    """The conditions of a job on its machines, apart from the resources of its tasks."""
 
     allow_spot: bool
     machine_types: tuple[str, ...] | None
@@ -54,7 +55,7 @@
     pending: list[PendingJob],
     snapshots: list[MachineSnapshot],
 ) -> list[Preemption]:
-    """Stops for the urgent tasks that the plan starts later than their class's objective allows."""
+    """Select the stops for urgent tasks that start too late for the objective of their class."""
     max_waits = _max_room_waits(context)
     if not max_waits:
         return []
@@ -62,30 +63,32 @@
     if not late:
         return []
     free = _free_after_starts(shard, plan, snapshots)
-    # Only where one of the late jobs may run and something can make room for it: most of a fleet
-    # may be closed to an urgent class, and the rest of it full of that class's own tasks.
-    smallest = _least_demanding([entry.job for entry in late])
+    # Consider only machines on which a late job may run and which have room or a victim: an urgent
+    # class may be excluded from most of a fleet, and its own tasks may fill the rest.
+    least_demanding = _least_demanding([entry.job for entry in late])
     priority_level = max(entry.job.priority_level for entry in late)
     victims: dict[str, list[Victim]] = {}
-    offering: list[MachineSnapshot] = []
+    candidates: list[MachineSnapshot] = []
     for snapshot in snapshots:
-        if not any(is_eligible(job, snapshot) for job in smallest):
+        if not any(is_eligible(job, snapshot) for job in least_demanding):
             continue
         machine_id = snapshot.machine_id
-        found = _victims(shard, context, machine_id, priority_level)
-        if found or any(job.resources.fits_in(free[machine_id]) for job in smallest):
-            victims[machine_id] = found
-            offering.append(snapshot)
+        machine_victims = _victims(shard, context, machine_id, priority_level)
+        if machine_victims or any(
+            job.resources.fits_in(free[machine_id]) for job in least_demanding
+        ):
+            victims[machine_id] = machine_victims
+            candidates.append(snapshot)
     preemptions: list[Preemption] = []
     for job, task_count in late:
-        if not offering:
+        if not candidates:
             break
-        preemptions += choose_victims(job, task_count, offering, free, victims, context.now)
+        preemptions += choose_victims(job, task_count, candidates, free, victims, context.now)
     return preemptions
 
 
 def _max_room_waits(context: ControllerContext) -> dict[str, float]:
-    """By class with an objective on starting, the seconds that its tasks may wait for room."""
+    """Return how many seconds tasks may wait for resources, by class with a `wait` objective."""
     max_waits: dict[str, float] = {}
     for objective in context.settings.facts.objectives:
         if objective.kind == "wait" and objective.within_s:
@@ -101,19 +104,21 @@
     pending: list[PendingJob],
     max_waits: dict[str, float],
 ) -> list[_LateJob]:
-    """The urgent jobs with tasks that the plan starts too late, in queue order."""
+    """Return the urgent jobs with tasks that would start too late, in queue order."""
     late: list[_LateJob] = []
-    # A stop takes effect with its machine's next heartbeat. Room that comes by then cannot be
-    # had sooner: without this, a task that was late already had others stopped for it in
-    # plan after plan while the first stops were still under way.
-    soonest_s = STOP_INTERVALS * context.timing.heartbeat_interval_s + STOP_SECONDS
+    # A stop takes effect with its machine's next heartbeat, so it can't make a task start earlier
+    # than this. Without the limit, every plan stopped further tasks for a task that was already
+    # late, while the first stops were still in progress.
+    min_start_delay_s = (
+        STOP_HEARTBEAT_INTERVALS * context.timing.heartbeat_interval_s + STOP_SECONDS
+    )
     for job in pending:
         max_wait_s = max_waits.get(shard.jobs[job.job_id].spec.job_class)
         if max_wait_s is None or not job.urgent:
             continue
         waited_s = context.wall_time - job.submitted_at
-        latest_start = context.now + max(soonest_s, max_wait_s - waited_s)
-        starts = plan.later_starts.get(job.job_id, ())
+        latest_start = context.now + max(min_start_delay_s, max_wait_s - waited_s)
+        starts = plan.future_starts.get(job.job_id, ())
         task_count = sum(1 for start in starts if start > latest_start)
         if task_count:
             late.append(_LateJob(job, task_count))
@@ -123,7 +128,7 @@
 def _free_after_starts(
     shard: Shard, plan: Plan, snapshots: list[MachineSnapshot]
 ) -> dict[str, Resources]:
-    """By machine, the room that is left now beside the plan's starts."""
+    """Return the resources that the plan's starts leave free now, by machine id."""
     free: dict[str, Resources] = {}
     for snapshot in snapshots:
         profile = snapshot.profile
@@ -138,9 +143,12 @@
 
 
 def _least_demanding(jobs: list[PendingJob]) -> list[PendingJob]:
-    """Of jobs that may run on the same machines, those than which no other needs less: a machine
-    with room for any has room for one of them. Hundreds of late jobs have few distinct demands;
-    each of them compared with each of thousands of machines was half of an owner's time."""
+    """Return the jobs with the smallest demands among those that may run on the same machines.
+
+    A machine with room for any of the jobs has room for one of these. Hundreds of late jobs have
+    few distinct demands, and comparing each job with each of thousands of machines took half of a
+    shard owner's processor time.
+    """
     least: dict[_Restrictions, list[PendingJob]] = {}
     for job in sorted(jobs, key=lambda job: job.resources):
         restrictions = _Restrictions(
@@ -149,24 +157,26 @@
             job.zone,
             None if job.avoided_machines is None else frozenset(job.avoided_machines),
         )
-        alike = least.setdefault(restrictions, [])
-        if not any(other.resources.fits_in(job.resources) for other in alike):
-            alike.append(job)
-    return [job for alike in least.values() for job in alike]
+        group = least.setdefault(restrictions, [])
+        if not any(other.resources.fits_in(job.resources) for other in group):
+            group.append(job)
+    return [job for group in least.values() for job in group]
 
 
 def _victims(
     shard: Shard, context: ControllerContext, machine_id: str, priority_level: int
 ) -> list[Victim]:
-    """The machine's tasks below the priority level that may be stopped, those whose stop loses
-    least for their room first."""
+    """Return the machine's tasks below the priority level that may be stopped.
+
+    They are sorted by the work that the stop loses for each processor freed, least first.
+    """
     victims: list[Victim] = []
     for run in shard.machines[machine_id].runs.values():
         job = shard.jobs.get(run.job_id)
         if job is None or not _may_be_stopped(run) or job.priority_level >= priority_level:
             continue
-        if len(job.runs) <= first_tasks(job, context):
-            continue  # it has waited for long enough
+        if len(job.runs) <= first_task_count(job, context):
+            continue  # the job was starved: its first tasks are not stopped
         lost_work = _lost_work(run, job, context.now)
         victims.append(Victim(run.task_id, job.priority_level, run.resources, lost_work))
     victims.sort(key=lambda victim: victim.lost_work / max(victim.resources.cpus, MIN_CPUS))
@@ -174,12 +184,12 @@
 
 
 def _may_be_stopped(run: TaskRun) -> bool:
-    """The task is known to be on its machine, and neither being stopped nor saving."""
+    """Return whether its machine has reported the task and it is neither stopping nor saving."""
     return run.stop_grace_s is None and run.reported and run.state is not _SAVING
 
 
 def _lost_work(run: TaskRun, job: OpenJob, now: float) -> float:
-    """The processor-seconds that a stop of the task would lose."""
+    """Return the processor-seconds that a stop of the task would lose."""
     lost_s = now - run.started_at if run.started_at is not None else 0.0
     if job.spec.checkpoint_interval_s > 0:
         lost_s = min(lost_s, CHECKPOINT_LOSS_SHARE * job.spec.checkpoint_interval_s)
--- a/fallpulley/scheduling/shard_plan.py
+++ b/fallpulley/scheduling/shard_plan.py
@@ -1,4 +1,4 @@
-"""A shard's plan: from its state to the tasks that it starts and stops."""
+"""Planning of one shard: from its state to the tasks to start and to stop."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class PlacementDecision(msgspec.Struct):
-    """What a plan asks for: tasks to start, by machine, and tasks to stop for urgent ones."""
+    """The result of a plan: the tasks to start, and the tasks to stop for urgent ones."""
 
-    starts: dict[str, list[Booking]]
+    starts: dict[str, list[Booking]]  # by machine id
     preemptions: list[Preemption]
 
 
 def plan_shard(
     shard: Shard, context: ControllerContext, registry: Registry, teams: dict[str, Team]
 ) -> PlacementDecision:
-    """Plan the shard's pending jobs on its machines as they are now."""
+    """Plan the shard's pending jobs on its machines in their present state."""
     snapshots = machine_snapshots(shard, registry.machine_types, context.now)
     pending = pending_jobs(shard, context, teams, snapshots)
     plan = make_plan(pending, snapshots, context.now)
@@ -36,7 +36,7 @@
 
 
 def _starts_by_machine(shard: Shard, plan: Plan) -> dict[str, list[Booking]]:
-    """The plan's bookings by machine, each for one of its job's pending tasks."""
+    """Group the plan's bookings by machine id, and assign each a pending task of its job."""
     by_machine: dict[str, list[Booking]] = {}
     by_job: dict[str, list[Booking]] = {}
     for booking in plan.starts:
--- a/fallpulley/scheduling/snapshot_builder.py
+++ b/fallpulley/scheduling/snapshot_builder.py
@@ -1,4 +1,4 @@
-"""Snapshots of a shard's machines, for a plan."""
+"""Builds the snapshots of a shard's machines that a plan works on."""
 
 from __future__ import annotations
 
@@ -7,28 +7,31 @@
 from fallpulley.cloud.messages import MachineType
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.estimate import remaining_run_time
-from fallpulley.placement.profile import Occupancy
+from fallpulley.placement.profile import HeldResources
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import TaskState
 
-# Read for every task or job: a member of an enum takes ten times as long to look up.
+# Read for every task: looking up an enum member takes ten times as long as a module constant.
 _EXITED = TaskState.EXITED
 
-# A fetch in progress is taken to need at least so long still, also past its estimate.
+# The least remaining time of a fetch in progress, also when its estimate has passed.
 MIN_FETCH_SECONDS = 0.5
-# What a task that is being stopped needs beyond saving its checkpoint.
+# The time that a task needs to exit after a stop, in addition to saving its checkpoint.
 STOP_SECONDS = 1.0
+# Lower bound of a machine type's fetch rate, so that a fetch time can be computed if the rate is 0.
 MIN_FETCH_GB_PER_S = 1e-3
 
 
 def machine_snapshots(
     shard: Shard, machine_types: dict[str, MachineType], now: float
 ) -> list[MachineSnapshot]:
-    """The machines that may be given tasks now. A snapshot is made anew only when something
-    changed on the machine or one of its tasks should have ended: hundreds of machines stay the
-    same from one plan to the next."""
+    """Return snapshots of the machines that may be given tasks now.
+
+    A snapshot is reused until something changes on the machine or one of its tasks should have
+    ended: hundreds of machines stay the same from one plan to the next.
+    """
     snapshots = []
     builder = _SnapshotBuilder(shard, now)
     for machine in shard.machines.values():
@@ -43,7 +46,7 @@
         if snapshot is None or now >= snapshot.valid_until:
             machine_type = machine_types.get(machine.entry.machine_type)
             if machine_type is None or _holds_unknown_tasks(machine):
-                continue  # it holds something whose size we do not know, until it is stopped
+                continue  # free resources unknown, in the second case until the tasks are stopped
             snapshot = machine.snapshot = builder.build(machine, machine_type)
         snapshots.append(snapshot)
     return snapshots
@@ -57,8 +60,10 @@
 
 
 class _SnapshotBuilder:
-    """Makes the snapshots of one plan. A job, which may have tasks on many machines, is estimated
-    once."""
+    """Builds the snapshots of one plan.
+
+    The run-time estimate of a job is computed once, since it may have tasks on many machines.
+    """
 
     def __init__(self, shard: Shard, now: float) -> None:
         self.shard = shard
@@ -66,14 +71,14 @@
         self._estimates: dict[str, float] = {}
 
     def build(self, machine: Machine, machine_type: MachineType) -> MachineSnapshot:
-        """The machine as it is now, with the estimated ends of its tasks and fetches."""
+        """Return a snapshot of the machine with the estimated ends of its tasks and fetches."""
         now, slowness = self.now, machine.speed.slowness
         fetch_free_at = now
         images = dict.fromkeys(machine.images.cached, 0.0)
         for image, ready_at in machine.images.fetching.items():
             images[image] = max(ready_at, now + MIN_FETCH_SECONDS)
             fetch_free_at = max(fetch_free_at, images[image])
-        running: list[Occupancy] = []
+        running: list[HeldResources] = []
         first_end = math.inf
         for run in machine.runs.values():
             ends_at = now + self._remaining_s(run, slowness, images)
@@ -94,7 +99,7 @@
         )
 
     def _remaining_s(self, run: TaskRun, slowness: float, images: dict[str, float]) -> float:
-        """The seconds until the task leaves the machine, as far as can be estimated."""
+        """Estimate the seconds until the task leaves the machine."""
         now = self.now
         job = self.shard.jobs.get(run.job_id)
         estimate_s = run.estimated_run_s if job is None else self._estimate_s(job) * slowness
--- a/fallpulley/scheduling/team_limits.py
+++ b/fallpulley/scheduling/team_limits.py
@@ -1,4 +1,4 @@
-"""The teams' limits on processors and accelerators, as a plan keeps them."""
+"""Limits of teams on processors and accelerators, applied to the pending jobs of a plan."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class _Quota(msgspec.Struct):
-    """What a team may still use."""
+    """The processors and accelerators that a team may still use; infinity without a limit."""
 
     cpus: float
     gpus: float
 
 
 class TeamLimits:
-    """The limits of the teams, and what the tasks of one shard use of them."""
+    """Applies the limits of teams, given what their tasks in one shard already use."""
 
     def __init__(self, shard: Shard, teams: dict[str, Team]) -> None:
         self._shard = shard
         self._limited_teams = {name: team for name, team in teams.items() if team.limited}
 
-    def forbid(self, job: OpenJob) -> bool:
-        """Whether the job has to wait because its team has a limit and may have used it up."""
+    def must_wait(self, job: OpenJob) -> bool:
+        """Return whether the job has to wait: its team has a limit and its usage isn't known."""
         return job.spec.team in self._limited_teams and not self._usage_known
 
     def apply(self, jobs: list[PendingJob]) -> None:
-        """Reduce the task counts of limited teams' jobs to their limits, first jobs first."""
+        """Reduce the task counts of jobs to the limits of their teams, in the order given."""
         if not self._limited_teams:
             return
         quotas: dict[str, _Quota] = {}
@@ -49,7 +49,7 @@
 
     @cached_property
     def _usage_known(self) -> bool:
-        """False: tasks that we cannot see, or cannot ascribe to a team, may use up a limit."""
+        """Whether all tasks that may be running, and their teams, are known to the owner."""
         shard = self._shard
         return not (
             bool(shard.unreconciled) or not shard.progress_loaded or shard.has_unknown_tasks()
@@ -64,7 +64,7 @@
 
 
 def _allowed_tasks(job: PendingJob, quota: _Quota) -> int:
-    """How many of the job's tasks its team's quota allows; of a gang all or none."""
+    """Return how many of the job's tasks the quota allows; of a gang all or none."""
     count = min(
         job.task_count,
         _tasks_within(quota.cpus, job.resources.cpus, job.task_count),
--- a/tests/test_day_end.py
+++ b/tests/test_day_end.py
@@ -379,13 +379,13 @@
     planned = -1.0
     for _ in range(40):
         held.needs_replan = True
-        before = controller.parts.planner.ready_at
+        before = controller.parts.planner.next_plan_at
         world.step()
-        if controller.parts.planner.ready_at != before:
+        if controller.parts.planner.next_plan_at != before:
             planned = world.now
             break
     assert planned > 0
-    assert least_s <= controller.parts.planner.ready_at - planned <= most_s
+    assert least_s <= controller.parts.planner.next_plan_at - planned <= most_s
 
 
 def test_the_last_controller_takes_over_a_fleet_half_as_large_again() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -194,5 +194,5 @@
         monkeypatch.setattr(f"fallpulley.placement.{module}.is_eligible", counted)
     jobs = [pending(f"j{n}", allow_spot=False, priority_level=2) for n in range(5)]
     plan = make_plan(jobs, spots + plain, 0.0)
-    assert plan.booked_later == 5
+    assert plan.future_booking_count == 5
     assert looks <= 5 * len(plain)
