--- a/fallpulley/membership/__init__.py
+++ b/fallpulley/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there, who leads, and which controller owns which shard."""
+"""Cluster membership: controllers' sessions, leader election and ownership of shards."""
--- a/fallpulley/membership/format_agreement.py
+++ b/fallpulley/membership/format_agreement.py
@@ -1,4 +1,4 @@
-"""Agreement on the newest record format that every controller knows; the leader records it."""
+"""Agreement on the newest record format that every controller knows, recorded by the leader."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FormatAgreement:
-    """Writes the format marker once all controllers have been seen to know a newer format."""
+    """Raises the format marker once every controller has been seen to know a newer format."""
 
     def __init__(
         self,
@@ -33,17 +33,18 @@
         self._watch = watch
         self._registry = registry
         self._writes = writes
-        self._controller_ids = controller_ids  # of all controllers that are configured
+        self._controller_ids = controller_ids  # all configured controllers
 
     def tick(self) -> None:
-        """Let records be written in a newer format if all know it; only the leader may ask.
+        """Raise the format marker if every controller knows a newer format.
 
-        There is no way back; nothing waits for it.
+        Only the leader may call this. The marker is never lowered again. Nothing waits for the
+        write, so it does not have the priority of a renewal.
         """
         if self._registry.record_format >= NEWEST_FORMAT:
             return
         agreed = self._agreed_format()
-        if agreed <= self._registry.record_format or not self._writes.begin(FORMAT_KEY):
+        if agreed <= self._registry.record_format or not self._writes.try_reserve(FORMAT_KEY):
             return
         log.info("record format agreed format=%d", agreed)
         conditions = {FORMAT_KEY: self._watch.mod_revision(FORMAT_KEY)}
@@ -51,8 +52,11 @@
         self._writes.send(conditions, change, RequestPriority.ACCEPT)
 
     def _agreed_format(self) -> int:
-        """The newest that all controllers have been seen to know: none comes back with a process
-        that does not."""
+        """Return the newest format that every controller has been seen to know.
+
+        The present format stays while a controller is missing from the settings or has not been
+        seen: it could come up with a process that does not know the newer one.
+        """
         current = self._context.record_format.number
         if len(self._controller_ids) < self._context.settings.facts.nodes:
             return current
--- a/fallpulley/membership/leader_election.py
+++ b/fallpulley/membership/leader_election.py
@@ -1,4 +1,4 @@
-"""Election of the leader: whoever writes the leader's key first, attached to its session."""
+"""Election of the leader: the controller that first writes the leader key becomes leader."""
 
 from __future__ import annotations
 
@@ -14,14 +14,17 @@
 
 
 class ElectionPolicy(Protocol):
-    """What the election asks of others."""
+    """The decisions about elections that extensions make."""
 
     def hold_off_s(self) -> float:
-        """How long to leave a free leadership to others, in seconds."""
+        """Return how long to leave a vacant leadership to other controllers, in seconds."""
 
 
 class LeaderElection:
-    """Claims a free leadership. The leader's key ends with the session of the controller."""
+    """Claims a vacant leadership.
+
+    The leader key is attached to the lease of the leader's session and is deleted with it.
+    """
 
     def __init__(
         self,
@@ -53,12 +56,12 @@
         return leader.mod_revision
 
     def tick(self) -> None:
-        """Claim the leadership if it is free, or belongs to an older process of ours."""
+        """Claim the leadership if it is vacant or held by an older process of this controller."""
         if self._registry.leader is not None:
             self._leaderless_since = None
         elif self._leaderless_since is None:
             self._leaderless_since = self._context.now
-        if self._older_process_leads() or self._is_free():
+        if self._older_process_leads() or self._vacant_long_enough():
             self._claim()
 
     def _older_process_leads(self) -> bool:
@@ -68,17 +71,17 @@
             and leader.value.incarnation != self._context.incarnation
         )
 
-    def _is_free(self) -> bool:
-        """Nobody leads, and whoever should go first has had the time."""
+    def _vacant_long_enough(self) -> bool:
+        """Return whether there is no leader and the delay set by the policy has passed."""
         since = self._leaderless_since
         return since is not None and self._context.now >= since + self._policy.hold_off_s()
 
     def _claim(self) -> None:
-        if not self._writes.begin(LEADER_KEY):
+        if not self._writes.try_reserve(LEADER_KEY):
             return
         conditions = {
             LEADER_KEY: self._watch.mod_revision(LEADER_KEY),
             self._session.key: self._watch.mod_revision(self._session.key),
         }
-        change = Change(LEADER_KEY, self._session.encoded, self._session.lease_id)
+        change = Change(LEADER_KEY, self._session.encoded_session, self._session.lease_id)
         self._writes.send(conditions, change)
--- a/fallpulley/membership/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -1,4 +1,4 @@
-"""The leader's work, and what each controller does for the ownership of shards."""
+"""The leader's duties, and the changes of shard owners that every controller makes."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from fallpulley.membership.membership_writes import MembershipWrites
 from fallpulley.membership.session import SessionLease
 from fallpulley.membership.shard_assignment import ShardAssignment
-from fallpulley.membership.shard_opening import OpeningPolicy, ShardOpening
+from fallpulley.membership.shard_creation import ShardCreation, ShardCreationPolicy
 from fallpulley.records.registry import Registry
 from fallpulley.shard_sizes import machines_per_shard
 from fallpulley.state.watch_cache import WatchCache
 
 
-class LeadershipPolicy(ElectionPolicy, OpeningPolicy, Protocol):
-    """What others want of leadership."""
+class LeadershipPolicy(ElectionPolicy, ShardCreationPolicy, Protocol):
+    """The decisions about elections and new shards that extensions make."""
 
 
 class Leadership:
-    """Runs leader election, failover, opening of shards and agreement on the record format."""
+    """Runs leader election, failover, creation of shards and agreement on the record format."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         writes = MembershipWrites(context)
         self._election = LeaderElection(context, watch, registry, session, policy, writes)
         self._assignment = ShardAssignment(context, watch, registry, session, writes)
-        self._opening = ShardOpening(
+        self._creation = ShardCreation(
             context, registry, self._assignment, policy, controller_ids, self.machines_per_shard
         )
-        self._formats = FormatAgreement(context, watch, registry, writes, controller_ids)
+        self._format_agreement = FormatAgreement(context, watch, registry, writes, controller_ids)
 
     @property
     def term(self) -> int | None:
@@ -51,17 +51,17 @@
         return self._election.term
 
     def tick(self) -> None:
-        """Do what is needed now, while our session lives."""
+        """Take the steps that are due, if this controller's session is live."""
         if not self._watch.ready or not self._session.is_live():
             return
         self._election.tick()
         leading = self.term is not None
         self._assignment.fail_over_shards(leading)
         if leading:
-            self._opening.tick()
-            self._formats.tick()
-        self._assignment.hand_back_spare_shard()
+            self._creation.tick()
+            self._format_agreement.tick()
+        self._assignment.hand_off_surplus_shard()
 
-    def hand_off(self, shard_id: str, to: str) -> None:
-        """Make another live controller the owner of a shard of ours."""
-        self._assignment.hand_off(shard_id, to)
+    def hand_off(self, shard_id: str, new_owner: str) -> None:
+        """Make another live controller the owner of a shard that this controller owns."""
+        self._assignment.hand_off(shard_id, new_owner)
--- a/fallpulley/membership/membership_writes.py
+++ b/fallpulley/membership/membership_writes.py
@@ -1,4 +1,4 @@
-"""Transactions that change membership records: one at a time for each key."""
+"""Transactions that change membership records, at most one at a time for each key."""
 
 from __future__ import annotations
 
@@ -9,27 +9,30 @@
 
 log = logging.getLogger(__name__)
 
-# A write is repeated when its response is overdue for so long.
+# A key without a response to its last write may be written again after this time.
 RESPONSE_TIMEOUT_SECONDS = 1.0
-# A write that has not been sent by then is dropped, so that it does not meet its repetition.
-EXPIRY_SECONDS = 0.9
-# After a response, how long the watch has to bring the change before the key is written again.
+# A write still unsent after this time is dropped, before a retry of it can be queued.
+WRITE_EXPIRY_SECONDS = 0.9
+# Minimum time from a response to the next write of the key, for the watch to deliver the change.
 PAUSE_AFTER_RESPONSE_SECONDS = 0.2
 
 
 class MembershipWrites:
-    """Sends conditional writes, and keeps a key from being written again meanwhile."""
+    """Sends conditional writes, and keeps a key from being written again while one is pending."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
-        self._blocked_until: dict[str, float] = {}
+        self._reserved_until: dict[str, float] = {}
 
-    def begin(self, key: str) -> bool:
-        """Reserve a key for a write that is sent at once; False while another is in flight."""
+    def try_reserve(self, key: str) -> bool:
+        """Reserve a key for a write, which has to be sent at once.
+
+        Returns False if an earlier write of the key is still pending.
+        """
         now = self._context.now
-        if now < self._blocked_until.get(key, float("-inf")):
+        if now < self._reserved_until.get(key, float("-inf")):
             return False
-        self._blocked_until[key] = now + RESPONSE_TIMEOUT_SECONDS
+        self._reserved_until[key] = now + RESPONSE_TIMEOUT_SECONDS
         return True
 
     def send(
@@ -38,7 +41,10 @@
         change: Change,
         priority: RequestPriority = RequestPriority.RENEWAL,
     ) -> None:
-        """Send a write of a key reserved with `begin`, on condition of the expected revisions."""
+        """Send a write of a key that was reserved with `try_reserve`.
+
+        `conditions` are the mod revisions that keys must have for the write to be carried out.
+        """
         key = change.key
         self._context.state_client.write(
             Write(
@@ -47,10 +53,10 @@
                 lambda result: self._on_result(key, result.status),
                 priority,
                 isolated=True,
-                expires_at=self._context.now + EXPIRY_SECONDS,
+                expires_at=self._context.now + WRITE_EXPIRY_SECONDS,
             )
         )
 
     def _on_result(self, key: str, status: int | None) -> None:
-        log.debug("membership write answered key=%s status=%s", key, status)
-        self._blocked_until[key] = self._context.now + PAUSE_AFTER_RESPONSE_SECONDS
+        log.debug("membership write completed key=%s status=%s", key, status)
+        self._reserved_until[key] = self._context.now + PAUSE_AFTER_RESPONSE_SECONDS
--- a/fallpulley/membership/session.py
+++ b/fallpulley/membership/session.py
@@ -17,19 +17,21 @@
 
 log = logging.getLogger(__name__)
 
-# Renewals within one session length: three may fail before the session ends.
+# Renewals sent within one session length: three in a row may fail before the session ends.
 RENEWALS_PER_SESSION = 4
+# Timeout of the request that creates the lease.
 CREATE_TIMEOUT_SECONDS = 1.0
+# Lower bound of the timeout of a renewal, which is otherwise the interval between renewals.
 MIN_RENEWAL_TIMEOUT_SECONDS = 0.3
-# A write of the session's key that has not been sent by then is dropped.
+# A write of the session key still unsent after this time is dropped.
 ATTACH_EXPIRY_SECONDS = 2.0
-# The state service's bounds of a lease's length.
+# Shortest and longest lease that the state service grants, in milliseconds.
 MIN_TTL_MS = 100
 MAX_TTL_MS = 600_000
 
 
 class SessionLease:
-    """Creates and renews the lease, and attaches the session's key to it."""
+    """Creates and renews this controller's lease, and attaches the session key to it."""
 
     def __init__(self, context: ControllerContext, watch: WatchCache) -> None:
         self.context = context
@@ -37,25 +39,28 @@
         self.key = SESSION_PREFIX + context.controller_id
         self.record_format = NEWEST_FORMAT  # the newest record format that this process knows
         self.lease_id: int | None = None
-        self.attached = False  # the key is attached to our lease
-        self.renewed_at = float("-inf")  # when the last successful renewal was sent
+        self.attached = False  # the session key is attached to the lease
+        self.renewed_at = float("-inf")  # when the last successful creation or renewal was sent
         self._renewal_in_flight = False
         self._next_renewal_at = float("-inf")
         self._attach_in_flight = False
 
     @property
-    def encoded(self) -> bytes:
-        """The value of our session's key."""
+    def encoded_session(self) -> bytes:
+        """The value of this controller's session key."""
         return msgspec.json.encode(
             Session(self.context.controller_id, self.context.incarnation, self.record_format)
         )
 
     def is_live(self) -> bool:
-        """Our session certainly exists."""
+        """Return whether this controller's session certainly exists.
+
+        It exists for one session length from when the last successful renewal was sent.
+        """
         return self.attached and self.context.now < self.renewed_at + self.context.timing.session_s
 
     def tick(self) -> None:
-        """Create or renew the lease when its time has come, and attach the key."""
+        """Create or renew the lease when due, and attach the session key to a new lease."""
         if not self.watch.ready:
             return
         now = self.context.now
@@ -69,7 +74,7 @@
             self._attach(self.lease_id)
 
     def discard(self) -> None:
-        """The lease has ended: begin a new one at the next tick."""
+        """Forget the lease, which has ended, and create a new one at the next tick."""
         self.lease_id = None
         self.attached = False
         self._next_renewal_at = float("-inf")
@@ -135,12 +140,12 @@
             elif result.invalid:
                 self.discard()
 
-        # An older process of this controller has ended, or there would be no new one: its
-        # session key may be replaced at once.
+        # The session key of an older process of this controller may be replaced at once: that
+        # process has ended, or this one would not have been started.
         self.context.state_client.write(
             Write(
                 {self.key: self.watch.mod_revision(self.key)},
-                [Change(self.key, self.encoded, lease_id)],
+                [Change(self.key, self.encoded_session, lease_id)],
                 on_result,
                 RequestPriority.RENEWAL,
                 isolated=True,
--- a/fallpulley/membership/shard_assignment.py
+++ b/fallpulley/membership/shard_assignment.py
@@ -18,15 +18,17 @@
 
 log = logging.getLogger(__name__)
 
-# A controller without a shard is handed one again after this many worker leases.
-HAND_BACK_LEASES = 2.0
+# A controller must have been without a shard for this many worker leases before it is handed one.
+SURPLUS_HANDOFF_LEASES = 2.0
 
 
 class ShardAssignment:
-    """Every step is one transaction, conditioned on the revisions it was decided on.
+    """Changes the owners of shards, each time in one conditional transaction.
 
-    These are the shard's record, the sessions of the old and the new owner as they were seen
-    (gone, or replaced by a newer process). Whoever comes second finds a revision changed.
+    The conditions are the revisions on which the decision was based: those of the shard's record
+    and of the new owner's session, and in a failover also that of the old owner's session, which
+    is gone or belongs to a newer process. If two controllers write at once, the second write finds
+    a revision changed and fails.
     """
 
     def __init__(
@@ -42,57 +44,67 @@
         self._registry = registry
         self._session = session
         self._writes = writes
-        # The controller without a shard, and since when.
+        # The controller that is to be handed a surplus shard, and since when it has had none.
         self._without_shard_since: tuple[str, float] | None = None
 
     def fail_over_shards(self, leading: bool) -> None:
-        """Acquire shards of an older process of ours and, if leading, of owners without session."""
+        """Acquire the shards whose owner has ended.
+
+        Every controller acquires those of its own older processes; the leader also those of owners
+        without a session.
+        """
         for shard_id, shard in self._registry.shards.items():
             record = shard.value
-            of_older_process = (
+            owned_by_older_process = (
                 record.owner == self._context.controller_id
                 and record.incarnation != self._context.incarnation
             )
-            if of_older_process or (leading and not self._registry.owner_alive(record)):
+            if owned_by_older_process or (leading and not self._registry.owner_alive(record)):
                 self._fail_over(shard_id, shard)
 
-    def hand_off(self, shard_id: str, to: str) -> None:
-        """Make another live controller the owner of a shard of ours."""
+    def hand_off(self, shard_id: str, new_owner: str) -> None:
+        """Make another live controller the owner of a shard that this controller owns.
+
+        Does nothing if that controller has no session or a write of the shard is pending.
+        """
         key = SHARD_PREFIX + shard_id
-        if to not in self._registry.sessions or not self._writes.begin(key):
+        if new_owner not in self._registry.sessions or not self._writes.try_reserve(key):
             return
         record, shard_revision = self._registry.shards[shard_id]
-        session, session_revision = self._registry.sessions[to]
-        log.info("shard handoff started shard=%s to=%s", shard_id, to)
-        conditions = {key: shard_revision, SESSION_PREFIX + to: session_revision}
-        changed = _with_owner(record, to, session.incarnation, self._previous_owners(record))
+        session, session_revision = self._registry.sessions[new_owner]
+        log.info("shard handoff started shard=%s to=%s", shard_id, new_owner)
+        conditions = {key: shard_revision, SESSION_PREFIX + new_owner: session_revision}
+        changed = _with_owner(record, new_owner, session.incarnation, self._previous_owners(record))
         self._write_record(key, conditions, changed)
 
-    def hand_back_spare_shard(self) -> None:
-        """Owning several shards after a failover, hand one to a controller without any, once
-        it has been back for a while. To the new owner this is a failover like any other."""
+    def hand_off_surplus_shard(self) -> None:
+        """Hand one of several owned shards to a controller that has none.
+
+        This restores the distribution after a failover, once the controller has been live without a
+        shard for `SURPLUS_HANDOFF_LEASES`. The new owner proceeds as after any failover.
+        """
         owned = self._owned_shards()
-        to = self.controller_without_shard() if len(owned) > 1 else None
-        if to is None or to == self._context.controller_id:
+        new_owner = self.controller_without_shard() if len(owned) > 1 else None
+        if new_owner is None or new_owner == self._context.controller_id:
             self._without_shard_since = None
             return
-        if self._without_shard_since is None or self._without_shard_since[0] != to:
-            self._without_shard_since = (to, self._context.now)
-        hand_back_after_s = HAND_BACK_LEASES * self._context.timing.lease_s
-        if self._context.now - self._without_shard_since[1] >= hand_back_after_s:
-            self.hand_off(to if to in owned else max(owned), to)
-
-    def open_shard(self, shard_id: str, owner: str) -> None:
-        """Create a shard without machines for a live controller."""
+        if self._without_shard_since is None or self._without_shard_since[0] != new_owner:
+            self._without_shard_since = (new_owner, self._context.now)
+        handoff_delay_s = SURPLUS_HANDOFF_LEASES * self._context.timing.lease_s
+        if self._context.now - self._without_shard_since[1] >= handoff_delay_s:
+            self.hand_off(new_owner if new_owner in owned else max(owned), new_owner)
+
+    def create_shard(self, shard_id: str, owner: str) -> None:
+        """Create a shard without machines, owned by a live controller."""
         key = SHARD_PREFIX + shard_id
-        if not self._writes.begin(key):
+        if not self._writes.try_reserve(key):
             return
         session, session_revision = self._registry.sessions[owner]
         conditions = {key: 0, SESSION_PREFIX + owner: session_revision}
         self._write_record(key, conditions, ShardRecord(owner, session.incarnation, {}))
 
     def controller_without_shard(self) -> str | None:
-        """A live controller that owns no shard, ourselves first."""
+        """Return a live controller that owns no shard, preferably this one; None if all own one."""
         owners = {record.owner for record, _ in self._registry.shards.values()}
         free = sorted(set(self._registry.sessions) - owners)
         if self._context.controller_id in free:
@@ -109,7 +121,7 @@
 
     def _fail_over(self, shard_id: str, shard: Versioned[ShardRecord]) -> None:
         key = SHARD_PREFIX + shard_id
-        if not self._writes.begin(key):
+        if not self._writes.try_reserve(key):
             return
         record = shard.value
         log.info(
@@ -139,7 +151,10 @@
         )
 
     def _write_record(self, key: str, conditions: dict[str, int], record: ShardRecord) -> None:
-        """Its pages stay as they are: one write, however many machines there are."""
+        """Write a shard's record, but not the pages that list its machines.
+
+        This takes one write, however many machines the shard has.
+        """
         record_format = self._context.record_format
         value = record.encode(record_format.compact, record_format.value_bytes)
         self._writes.send(conditions, Change(key, value))
--- a/fallpulley/membership/shard_opening.py
+++ b/fallpulley/membership/shard_creation.py
@@ -1,4 +1,4 @@
-"""The leader opens shards: for more machines than one owner serves, and where records are full."""
+"""Creation of shards by the leader, when machines outgrow the owners or records are full."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from fallpulley.shard_sizes import FULL_RECORD_SHARE, shards_needed
 
 
-class OpeningPolicy(Protocol):
-    """Which shards others ask for."""
+class ShardCreationPolicy(Protocol):
+    """The shards that extensions ask for."""
 
     def shards_to_open(self) -> list[str]:
-        """Controllers that are to have a shard whether or not the machines need one."""
+        """Return the controllers that are to have a shard even if the machines need none."""
 
 
-class ShardOpening:
-    """Opens as many shards as the machines need."""
+class ShardCreation:
+    """Creates as many shards as the machines need."""
 
     def __init__(
         self,
         context: ControllerContext,
         registry: Registry,
         assignment: ShardAssignment,
-        policy: OpeningPolicy,
+        policy: ShardCreationPolicy,
         controller_ids: list[str],
         machines_per_shard: int,
     ) -> None:
@@ -34,19 +34,22 @@
         self._registry = registry
         self._assignment = assignment
         self._policy = policy
-        self._controller_ids = controller_ids  # of all controllers that are configured
+        self._controller_ids = controller_ids  # all configured controllers
         self._machines_per_shard = machines_per_shard
 
     def tick(self) -> None:
-        """Open the shards that are needed; only the leader may ask."""
+        """Create the shards that are needed. Only the leader may call this."""
         for controller_id in self._policy.shards_to_open():
-            self._assignment.open_shard(controller_id, controller_id)
-        if not self._open_for_machines() and self._all_records_full():
-            # However few controllers there are, the records must hold all machines.
-            self._assignment.open_shard(self._unused_shard_id(), self._context.controller_id)
+            self._assignment.create_shard(controller_id, controller_id)
+        if not self._create_for_machines() and self._all_records_full():
+            # The records must hold all machines, even if no controller is without a shard.
+            self._assignment.create_shard(self._unused_shard_id(), self._context.controller_id)
 
-    def _open_for_machines(self) -> bool:
-        """Open a shard for a controller without one if the machines need more; False if not."""
+    def _create_for_machines(self) -> bool:
+        """Create a shard for a controller without one, if the machines need a further shard.
+
+        Returns False if they need none, or if no controller can be given one.
+        """
         shards = self._registry.shards
         machines = sum(len(record.machines) for record, _ in shards.values())
         controllers = len(self._registry.sessions)
@@ -55,23 +58,28 @@
         controller_id = self._assignment.controller_without_shard()
         if controller_id is None or controller_id in shards:
             return False
-        self._assignment.open_shard(controller_id, controller_id)
+        self._assignment.create_shard(controller_id, controller_id)
         return True
 
     def _all_records_full(self) -> bool:
-        """No record has room, nor gets any by another format or layout."""
+        """Return whether all records are full, in the newest format and divided into pages."""
         record_format = self._context.record_format
         shards = self._registry.shards
         if record_format.compact and self._registry.first_format_shards:
-            return False  # they shrink first: a second shard would cost more than it carries
+            # These records shrink when rewritten; a further shard would cost more than it carries.
+            return False
         if record_format.paged and not all(record.pages for record, _ in shards.values()):
-            return False  # a record that is full is laid out in pages first
+            return False  # a full record is divided into pages before a shard is added
         full_bytes = FULL_RECORD_SHARE * record_format.value_bytes
         record_bytes = self._registry.record_bytes
         return bool(shards) and all(record_bytes[shard_id] > full_bytes for shard_id in shards)
 
     def _unused_shard_id(self) -> str:
-        """A controller's id, or if all of them are shards already, ours with a number."""
+        """Return an id for a new shard.
+
+        This is the id of a controller, if no shard has it yet, or else this controller's id with a
+        number.
+        """
         numbered = (f"{self._context.controller_id}.{number}" for number in itertools.count(2))
         shard_ids = itertools.chain(self._controller_ids, numbered)
         return next(shard_id for shard_id in shard_ids if shard_id not in self._registry.shards)
