--- a/fallpulley/controller/__init__.py
+++ b/fallpulley/controller/__init__.py
@@ -1,4 +1,4 @@
-"""The owner of all state of one controller, and what it is made of."""
+"""The controller, its parts, and how commands and changed records reach them."""
 
 from fallpulley.controller.controller import Controller
 
--- a/fallpulley/controller/cancellations.py
+++ b/fallpulley/controller/cancellation_announcer.py
@@ -1,4 +1,4 @@
-"""Tells the owners of jobs that they were cancelled here, before the records can reach them."""
+"""Announcement of cancelled jobs to their owners, ahead of the job records."""
 
 from __future__ import annotations
 
@@ -9,8 +9,13 @@
 from fallpulley.records.registry import Registry
 
 
-class Cancellations:
-    """A peer that does not hear of a cancellation so sees its record, or stops by its window."""
+class CancellationAnnouncer:
+    """Announces jobs that were cancelled through this controller to the owners of their shards.
+
+    Safety does not depend on it: an owner that gets no announcement sees the changed job record or,
+    if it is cut off from the state service, stops responding to its machines when its response
+    window ends.
+    """
 
     def __init__(
         self,
@@ -27,7 +32,7 @@
         self.peers = peers
 
     def announce(self) -> None:
-        """Pass on what has been cancelled durably since the last call."""
+        """Announce the jobs whose cancellation has become durable since the last call."""
         by_owner: dict[str, list[str]] = {}
         for job_id in self.jobs.drain_newly_cancelled():
             owner = self._owner_of(job_id)
--- a/fallpulley/controller/controller.py
+++ b/fallpulley/controller/controller.py
@@ -1,6 +1,6 @@
-"""The owner of all state of one controller: takes commands in batches, returns effects.
+"""The controller, which takes commands in batches and returns effects.
 
-No I/O happens here: `serve` submits what arrives and carries out what is asked for.
+No I/O happens here: `serve` submits what arrives and carries out the effects.
 """
 
 from __future__ import annotations
@@ -26,16 +26,22 @@
 
 
 class Controller:
-    """Everything that changes state happens in `step`, in one thread, one batch at a time."""
+    """Holds all state of one controller process.
+
+    The state changes only in `step`, in one thread and one batch at a time.
+    """
 
     def __init__(self, settings: Settings, incarnation: str, clock: Callable[[], float]) -> None:
-        """`incarnation` differs between any two processes; `clock` is steady, in seconds."""
+        """Build all parts of the controller.
+
+        `incarnation` differs between any two processes; `clock` is monotonic, in seconds.
+        """
         self.parts = build_parts(settings, incarnation, clock)
 
     def step(self, batch: list[Command], now: float, wall_time: float) -> list[Effect]:
-        """Take a batch of commands, and what is due; returns what to carry out.
+        """Handle a batch of commands, do the work that is due, and return the effects.
 
-        `now` by the steady clock, `wall_time` in seconds since the epoch.
+        `now` is in seconds of the monotonic clock, `wall_time` in seconds since the epoch.
         """
         context = self.parts.context
         context.now, context.wall_time = now, wall_time
@@ -43,7 +49,7 @@
         for command in batch:
             self._handle_safely(command)
         for action in (
-            self.parts.cancellations.announce,
+            self.parts.cancellation_announcer.announce,
             self.parts.periodic.run,
             self.parts.periodic.plan,
             self.parts.heartbeats.respond_to_deferred,
@@ -51,7 +57,7 @@
             try:
                 action()
             except Exception:
-                # The next step tries again; an end of the process would cost a failover.
+                # The next step tries again; ending the process would cause a failover.
                 log.exception("step failed action=%s", action.__qualname__)
         context.state_client.send_queued(now)
         effects, context.outbox[:] = list(context.outbox), []
@@ -61,7 +67,7 @@
         try:
             self._handle(command)
         except Exception:
-            # One broken message must not end the process or lose the rest of the batch.
+            # One faulty message must not end the process or lose the rest of the batch.
             log.exception("command failed command=%s", type(command).__name__)
             if isinstance(command, Request | OperatorRequest):
                 self.parts.context.respond(
--- a/fallpulley/controller/health.py
+++ b/fallpulley/controller/health.py
@@ -1,4 +1,4 @@
-"""Whether this controller can take requests, and whether it may respond to machines."""
+"""The controller's health: whether it takes requests, and whether it may respond to machines."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 from fallpulley.mesh.peers import HEARTBEAT_SECONDS, Peers
 from fallpulley.state.watch_cache import WatchCache
 
-# A controller that could read nothing for so long after its start calls that an outage.
-NEVER_READ_HEARTBEATS = 4.0
-# Without state service and peers for so many heartbeats, a controller calls itself isolated.
+# A controller that has read no records for this many peer heartbeat intervals after its start
+# assumes an outage of the state service, unless a peer has reached it.
+STARTUP_OUTAGE_HEARTBEATS = 4.0
+# A controller is isolated if it has not reached the state service for more than this many peer
+# heartbeat intervals and no peer is live.
 ISOLATED_HEARTBEATS = 5.0
 
 
 class Health:
-    """Judged from this controller's own sight of the state service and of its peers."""
+    """Judges the controller by its own contact with the state service and with its peers."""
 
     def __init__(
         self, context: ControllerContext, watch: WatchCache, session: SessionLease, peers: Peers
@@ -26,27 +28,29 @@
         self._started_at = 0.0
 
     def on_step(self) -> None:
-        """A step begins: the first one is the controller's start."""
+        """Record the time of the first step as the controller's start."""
         if self._started_at == 0.0:
             self._started_at = self.context.now
 
     def staleness_s(self) -> float:
-        """How old this controller's copy of the records is, in seconds."""
+        """Return the age of this controller's copy of the records, in seconds."""
         return self.context.now - self.watch.fresh_at
 
     def is_healthy(self) -> bool:
-        """All but a controller that alone has lost the state service can take requests.
+        """Return whether this controller can take requests.
 
-        One that reaches neither the state service nor any peer cannot tell an outage from being
-        cut off: users are better served by others. In an outage seen by all, peers are heard.
+        It cannot if it has lost the state service while a peer has not. Neither can it if it
+        reaches neither the service nor any peer: whether the service is down or the controller is
+        cut off is unknown then, and other controllers serve users better. In an outage that affects
+        all controllers, peers' heartbeats still arrive and report it, so that all stay healthy.
         """
         if self._is_isolated():
             return False
         if self.watch.ready:
             return not self.peers.is_stale(self.watch.fresh_at)
-        # Nothing read yet: healthy only if nobody else can read either.
+        # Nothing was read yet: healthy only if no peer can read the records either.
         waited_s = self.context.now - self._started_at
-        return waited_s > NEVER_READ_HEARTBEATS * HEARTBEAT_SECONDS and not self.peers.is_stale(
+        return waited_s > STARTUP_OUTAGE_HEARTBEATS * HEARTBEAT_SECONDS and not self.peers.is_stale(
             self._started_at - HEARTBEAT_SECONDS
         )
 
@@ -59,6 +63,11 @@
         )
 
     def is_serving(self) -> bool:
-        """Within the response window: nobody can have confirmed our machines empty yet."""
+        """Return whether this controller may respond to its machines.
+
+        It may within the response window, which begins at its last renewal of the session or at its
+        last read of the records, whichever is earlier. Until the window ends, no other controller
+        can have confirmed its machines empty.
+        """
         last = min(self.session.renewed_at, self.watch.fresh_at)
         return self.context.now < last + self.context.timing.response_window_s
--- a/fallpulley/controller/peer_messages.py
+++ b/fallpulley/controller/peer_messages.py
@@ -1,4 +1,4 @@
-"""Handles the messages of other controllers."""
+"""Handling of messages from other controllers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class PeerMessageHandler:
-    """Nothing here is needed for safety: any message may be lost, late or repeated."""
+    """Handles messages from other controllers.
+
+    Safety depends on none of them: any message may be lost, late or repeated.
+    """
 
     def __init__(
         self,
@@ -36,7 +39,7 @@
         self.extensions = extensions
 
     def handle(self, body: bytes) -> None:
-        """A message, still encoded. One that nobody understands is dropped."""
+        """Handle an encoded message; one that is malformed or out of date is dropped."""
         extension = self.extensions.for_peer_message(body)
         if extension is not None:
             extension.on_peer_message(body)
@@ -59,7 +62,7 @@
             self._scale_out(heartbeat)
 
     def _scale_out(self, heartbeat: PeerHeartbeat) -> None:
-        """As the leader, rent the machines that the peer asks for."""
+        """Rent the machines that a peer requests from this controller as the leader."""
         for request in heartbeat.machine_requests:
             if request.shard_id in self.registry.shards and request.count > 0:
                 offer = Offer(request.machine_type, request.zone, request.spot)
--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -1,4 +1,4 @@
-"""What happens by the clock: every step, every tick, and with every heartbeat to the peers."""
+"""Periodic work of every step, of every tick and of every heartbeat to the peers."""
 
 from __future__ import annotations
 
@@ -24,15 +24,16 @@
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.state.watch_cache import WatchCache
 
-# Machines, jobs and records are looked over so often within a heartbeat interval.
-TICK_INTERVALS = 1.0 / 15.0
-# All occupancy flags are compared with the machines so often, and else when something changed that
-# they tell of: at every tick it took a tenth of an owner's time.
-OCCUPANCY_INTERVALS = 0.5
+# Time from one tick to the next, in heartbeat intervals of the workers.
+TICK_INTERVAL_HEARTBEATS = 1.0 / 15.0
+# Time from one comparison of all occupancy flags with the machines to the next, in heartbeat
+# intervals of the workers. In between, only machines that changed are compared: comparing all of
+# them in every tick took a tenth of an owner's time.
+OCCUPANCY_INTERVAL_HEARTBEATS = 0.5
 
 
 class PeriodicTasks:
-    """Runs what is due, always in the same order: later tasks act on what earlier ones decided."""
+    """Runs the work that is due in a fixed order, since later tasks act on earlier decisions."""
 
     def __init__(
         self,
@@ -73,29 +74,30 @@
         self.health = health
         self.owned = owned
         self.extensions = extensions
-        self._machine_requests: dict[str, list[MachineRequest]] = {}  # by shard
+        # Requests for machines that the next heartbeat carries, by shard id.
+        self._machine_requests: dict[str, list[MachineRequest]] = {}
         self._task_counts = TaskCountRotation()
         self._next_tick_at = float("-inf")
         self._next_occupancy_at = float("-inf")
 
     def run(self) -> None:
-        """In every step."""
+        """Do the work of every step and, when one is due, of a tick."""
         self.watch.tick(self.context.now)
         self.session.tick()
         for extension in self.extensions:
             extension.on_step()
         self.heartbeats.retry_parked()
-        # What looks at every machine and job runs by the clock, not with every batch.
+        # Work that goes over all machines and jobs is done by the clock, not with every batch.
         if self.context.now < self._next_tick_at:
             return
         self._next_tick_at = (
-            self.context.now + TICK_INTERVALS * self.context.timing.heartbeat_interval_s
+            self.context.now + TICK_INTERVAL_HEARTBEATS * self.context.timing.heartbeat_interval_s
         )
         self.heartbeats.recheck_deferred()
         self._tick()
 
     def plan(self) -> None:
-        """In every step, after `run`: place tasks where something changed."""
+        """Plan the shards in which something changed; called in every step, after `run`."""
         if self.watch.ready and self.planner.plan(self.owned.agents):
             self.heartbeats.recheck_deferred()
 
@@ -108,7 +110,7 @@
             self.provider.tick(term)
         occupancy_due = self.context.now >= self._next_occupancy_at
         if occupancy_due:
-            interval_s = OCCUPANCY_INTERVALS * self.context.timing.heartbeat_interval_s
+            interval_s = OCCUPANCY_INTERVAL_HEARTBEATS * self.context.timing.heartbeat_interval_s
             self._next_occupancy_at = self.context.now + interval_s
         for agent in self.owned.agents.values():
             self._tick_shard(agent, occupancy_due, term is not None)
@@ -129,13 +131,13 @@
             self.occupancy.update_due(shard)
         if shard.unreconciled:
             agent.fencing.tick(self.writer.addresses)
-        self._request_revisions(agent)
+        self._request_record_rewrite(agent)
         self.persistence.tick(shard, self.jobs.cancelled_with_dependencies.get(shard.shard_id, {}))
         if self.session.is_live():
             self._scale(agent, leading)
 
-    def _request_revisions(self, agent: ShardAgent) -> None:
-        """Have the shard's record written anew where it should be, changed or not."""
+    def _request_record_rewrite(self, agent: ShardAgent) -> None:
+        """Request a rewrite of the shard's record if one is needed, even without a change to it."""
         shard = agent.shard
         if shard.previous_owners_expired():
             self.writer.drop_previous_owners(shard.shard_id)
@@ -168,7 +170,10 @@
         self._machine_requests = {}
 
     def _current_task_counts(self) -> list[TaskCount]:
-        """Completed and running tasks of owned jobs, as many as one heartbeat takes."""
+        """Return the task counts that the next heartbeat carries, as many as fit.
+
+        Also updates the job service's counts of all owned jobs.
+        """
         task_counts = {}
         for shard in self.owned.shards.values():
             for job in shard.jobs.values():
--- a/fallpulley/controller/record_dispatch.py
+++ b/fallpulley/controller/record_dispatch.py
@@ -1,4 +1,4 @@
-"""Passes each change of a shared record to the parts that it concerns."""
+"""Dispatch of changed records to the parts of the controller that use them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class RecordDispatcher:
-    """Called by the watch cache for every key, in the order of the store's revisions."""
+    """Passes each changed record to the parts that use it.
+
+    The watch cache calls it for every key, in the order of the state service's revisions.
+    """
 
     def __init__(
         self,
@@ -29,7 +32,7 @@
         self.extensions = extensions
 
     def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        """A record was written; None: deleted."""
+        """Handle a changed record; `value` is None if it was deleted."""
         if key.startswith(JOB_PREFIX):
             self.job_sync.on_record(key[len(JOB_PREFIX) :], value, mod_revision)
             return
@@ -37,10 +40,10 @@
         if extension is not None:
             extension.on_key_changed(key, value, mod_revision)
             return
-        self._on_control_record(key, value, mod_revision)
+        self._on_registry_record(key, value, mod_revision)
 
-    def _on_control_record(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        """A record of sessions, leadership, shards or machines."""
+    def _on_registry_record(self, key: str, value: bytes | None, mod_revision: int) -> None:
+        """Handle a record of the registry, such as a session, the leader or a shard."""
         owners = self.registry.owners()
         shard_id = self.registry.on_key_changed(key, value, mod_revision)
         if shard_id is not None:
--- a/fallpulley/controller/router.py
+++ b/fallpulley/controller/router.py
@@ -1,4 +1,4 @@
-"""Which handler serves a request, by its path and method."""
+"""Routing of requests to their handlers, by path and method."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from fallpulley.heartbeats.handler import HeartbeatHandler
 from fallpulley.jobs.service import JobService
 
-Handler = Callable[[Request, str], None]  # the request, and the job that its path names
+Handler = Callable[[Request, str], None]  # takes the request and the job id in its path
 
 JOBS_PATH = "/work"
 CANCEL_ACTION = "abort"
@@ -34,7 +34,7 @@
         self.jobs = jobs
         self.heartbeats = heartbeats
         self.extensions = extensions
-        # Path, with {id} in place of a job -> method -> handler.
+        # Handlers by path and method; {id} in a path stands for a job id.
         self._routes: dict[str, dict[str, Handler]] = {
             "/checkin": {"POST": self._heartbeat},
             "/up": {"GET": self._health, "HEAD": self._health},
@@ -44,7 +44,10 @@
         }
 
     def handle(self, request: Request) -> None:
-        """Respond to a request, at once or in a later step."""
+        """Pass a request to its handler, which responds at once or in a later step.
+
+        A request without a handler gets status 404 or, if its path has others, 405.
+        """
         path = request.path.partition("?")[0]
         job_id = ""
         if path.startswith(JOBS_PATH + "/"):
@@ -59,7 +62,7 @@
             methods[request.method](request, job_id)
 
     def handle_operator_request(self, request: OperatorRequest) -> None:
-        """Pass a request of an operator's command to the extension that serves it."""
+        """Pass an operator's request to the extension that serves its path, or respond with 404."""
         extension = self.extensions.for_operator_path(request.path.partition("?")[0])
         if extension is None:
             self.context.respond(request.pending_response, HTTPStatus.NOT_FOUND)
--- a/fallpulley/controller/shard_lifecycle.py
+++ b/fallpulley/controller/shard_lifecycle.py
@@ -1,4 +1,4 @@
-"""Begins and ends this controller's ownership of shards, as the records show it."""
+"""Beginning and end of this controller's ownership of shards, as the records show it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ShardLifecycle:
-    """What happens when a shard is acquired, changes, is lost, or is ours alone."""
+    """Acts on shards being acquired, changed or lost, and on the end of their previous owners."""
 
     def __init__(
         self,
@@ -36,14 +36,17 @@
         self.owned = owned
         self.job_sync = job_sync
         self.extensions = extensions
-        # Of shards that we own: owners before us that are not known to have ended.
+        # Previous owners of owned shards that are not known to have ended, by shard id.
         self._previous_owners: dict[str, list[OwnerProcess]] = {}
 
     def on_record(self, shard_id: str, previous: OwnerProcess | None) -> None:
-        """A shard's record has changed; `previous` owned it before the change, if anybody did."""
+        """Handle a changed shard record.
+
+        `previous` is the process that owned the shard before the change, None if there was none.
+        """
         entry = self.registry.shards.get(shard_id)
-        if entry is None or not self._is_ours(entry[0]):
-            self._lose(shard_id)
+        if entry is None or not self._is_owned_here(entry[0]):
+            self._end_ownership(shard_id)
             return
         record, mod_revision = entry
         shard = self.owned.shards.get(shard_id)
@@ -54,7 +57,7 @@
         for extension in self.extensions:
             extension.on_shard_updated(shard)
 
-    def _is_ours(self, record: ShardRecord) -> bool:
+    def _is_owned_here(self, record: ShardRecord) -> bool:
         context = self.context
         return (record.owner, record.incarnation) == (context.controller_id, context.incarnation)
 
@@ -80,19 +83,21 @@
             extension.on_shard_acquired(shard, previous)
         self.check_previous_owners()
 
-    def _lose(self, shard_id: str) -> None:
+    def _end_ownership(self, shard_id: str) -> None:
         shard = self.owned.shards.get(shard_id)
         if shard is None:
             return
-        log.info("shard lost shard=%s token=%d", shard_id, shard.fencing_token)
+        log.info("shard ownership lost shard=%s token=%d", shard_id, shard.fencing_token)
         self.owned.remove(shard_id)
         self.writer.forget_shard(shard_id)
         for extension in self.extensions:
             extension.on_shard_lost(shard_id)
 
     def check_previous_owners(self) -> None:
-        """Once every previous owner's process has ended, nobody else responds to a shard's
-        machines."""
+        """Notify each shard once the processes of all its previous owners have ended.
+
+        From then on, this controller alone responds to the machines of the shard.
+        """
         for shard_id, agent in self.owned.agents.items():
             previous_owners = self._previous_owners.get(shard_id)
             if not agent.shard.unreconciled or previous_owners is None:
@@ -106,10 +111,11 @@
         return self.registry.has_ended(previous, context.controller_id, context.incarnation)
 
     def update_change_share(self) -> None:
-        """Owners write most of all changes.
+        """Update this controller's share of the budget of changes to the state service.
 
-        A version in production that knows equal shares alone may run until the compact format is
-        adopted.
+        Owners get larger shares, since they write most of the changes. The shares stay equal until
+        the compact format is adopted: before, controllers may run a version still in
+        production that only knows equal shares.
         """
         if not self.context.record_format.compact:
             return
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -1,4 +1,4 @@
-"""Puts a controller together: what each part is given, and which extensions are turned on."""
+"""Construction of a controller from its parts and the extensions that are enabled."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from fallpulley.balancing.balancer import ShardBalancer
 from fallpulley.context import ControllerContext
-from fallpulley.controller.cancellations import Cancellations
+from fallpulley.controller.cancellation_announcer import CancellationAnnouncer
 from fallpulley.controller.health import Health
 from fallpulley.controller.job_sync import JobSync
 from fallpulley.controller.peer_messages import PeerMessageHandler
@@ -34,15 +34,17 @@
 from fallpulley.shards.owned import OwnedShards
 from fallpulley.state.watch_cache import WatchCache
 
-# A watch returns at least so often within a session: its return proves the copy fresh.
+# Minimum number of watches that return within one session length: each return shows that this
+# controller's copy of the records is up to date.
 WATCHES_PER_SESSION = 3.0
-# Of this controller's share of the requests to the state service, what watches may take.
+# Share of this controller's budget of requests to the state service that watches may use.
 WATCH_REQUEST_SHARE = 0.5
+# Minimum time between two watches, also where the budget allows more of them.
 MIN_WATCH_INTERVAL_SECONDS = 0.05
 
 
 class ControllerParts(msgspec.Struct, frozen=True):
-    """The parts of one controller, each given at its construction what it needs of others."""
+    """The parts of one controller, each constructed with the other parts that it uses."""
 
     context: ControllerContext
     watch: WatchCache
@@ -59,7 +61,7 @@
     peers: Peers
     health: Health
     heartbeats: HeartbeatHandler
-    cancellations: Cancellations
+    cancellation_announcer: CancellationAnnouncer
     peer_messages: PeerMessageHandler
     router: Router
     periodic: PeriodicTasks
@@ -68,7 +70,7 @@
 def build_parts(
     settings: Settings, incarnation: str, clock: Callable[[], float]
 ) -> ControllerParts:
-    """All parts of a controller, before its first step."""
+    """Build all parts of a controller, before its first step."""
     context = ControllerContext(settings, incarnation, clock)
     watch = _build_watch(context)
     registry = Registry()
@@ -127,7 +129,7 @@
         peers=peers,
         health=health,
         heartbeats=heartbeats,
-        cancellations=Cancellations(context, registry, jobs, job_sync, peers),
+        cancellation_announcer=CancellationAnnouncer(context, registry, jobs, job_sync, peers),
         peer_messages=PeerMessageHandler(
             registry, jobs, leadership, provider, peers, job_sync, extensions
         ),
@@ -149,7 +151,7 @@
 
 
 def _add_extensions(parts: ControllerParts) -> None:
-    """Only a controller that is to have an extension imports it."""
+    """Add the extensions that the settings enable; the modules of others are not imported."""
     operators = parts.context.settings.operators
     access = ControllerAccess(
         parts.context,
--- a/fallpulley/membership/membership_writes.py
+++ b/fallpulley/membership/membership_writes.py
@@ -27,7 +27,7 @@
     def try_reserve(self, key: str) -> bool:
         """Reserve a key for a write, which has to be sent at once.
 
-        Returns False if an earlier write of the key is still pending.
+        Returns False if an earlier write of the key is pending or has only just been completed.
         """
         now = self._context.now
         if now < self._reserved_until.get(key, float("-inf")):
--- a/fallpulley/membership/shard_assignment.py
+++ b/fallpulley/membership/shard_assignment.py
@@ -1,4 +1,4 @@
-"""Changes of a shard's owner: failover and handoff."""
+"""Changes of a shard's owner: creation, failover and handoff."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ShardAssignment:
-    """Changes the owners of shards, each time in one conditional transaction.
+    """Creates shards and changes their owners, each time in one conditional transaction.
 
     The conditions are the revisions on which the decision was based: those of the shard's record
     and of the new owner's session, and in a failover also that of the old owner's session, which
@@ -65,7 +65,8 @@
     def hand_off(self, shard_id: str, new_owner: str) -> None:
         """Make another live controller the owner of a shard that this controller owns.
 
-        Does nothing if that controller has no session or a write of the shard is pending.
+        Does nothing if that controller has no session, or if another write of the shard's record
+        is pending.
         """
         key = SHARD_PREFIX + shard_id
         if new_owner not in self._registry.sessions or not self._writes.try_reserve(key):
--- a/fallpulley/membership/shard_creation.py
+++ b/fallpulley/membership/shard_creation.py
@@ -62,7 +62,7 @@
         return True
 
     def _all_records_full(self) -> bool:
-        """Return whether all records are full, in the newest format and divided into pages."""
+        """Return whether all records are full, and neither a rewrite nor pages would make room."""
         record_format = self._context.record_format
         shards = self._registry.shards
         if record_format.compact and self._registry.first_format_shards:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -96,9 +96,9 @@
     assert len(world.starts_seen) == before
     world.refused.clear()
     world.run(5.0)
-    assert not world.controllers[old].parts.job_sync._cancelled and stages(world, uid) == {
-        "withdrawn"
-    }
+    assert not world.controllers[old].parts.job_sync._cancelled_before_record and stages(
+        world, uid
+    ) == {"withdrawn"}
 
 
 def test_no_check_in_is_answered_once_the_window_is_over_even_if_it_came_before() -> None:
