--- a/fallpulley/standby/__init__.py
+++ b/fallpulley/standby/__init__.py
@@ -1,4 +1,5 @@
-"""Warm standby: followers keep a replica of an owner's decisions (docs/standby.md).
+"""Warm standby: followers keep replicas of the decisions of shard owners (docs/standby.md).
 
-Nothing here is imported unless `[standby] enabled = true` stands in fallpulley.toml.
+A controller that takes over a shard after a failover uses its replica as a hint. The package is
+imported only if `[standby] enabled = true` is set in fallpulley.toml.
 """
--- a/fallpulley/standby/failover.py
+++ b/fallpulley/standby/failover.py
@@ -1,5 +1,9 @@
-"""What a new owner does with a replica: it asks machines in a better sequence, and estimates as its
-predecessor did. Nothing is placed or counted as confirmed by it."""
+"""How the new owner of a shard uses its replica after a failover.
+
+The replica decides the order in which machines are probed, and restores the previous owner's
+run-time estimates. It is only a hint: no task is placed because of it, and no machine is regarded
+as reconciled.
+"""
 
 from __future__ import annotations
 
@@ -16,36 +20,39 @@
 
 
 class ExpectedTasks(msgspec.Struct):
-    """The tasks that are expected in an acquired shard, by the replica of it."""
+    """The tasks that an acquired shard should be running according to its replica."""
 
     attempts: dict[str, int]  # task_id -> attempt
-    compared: bool = False  # with what the machines reported
+    compared: bool = False  # whether they were compared with the tasks that machines reported
 
 
 class ProbePriority(NamedTuple):
-    """How early a machine is asked what it runs; the lowest comes first."""
+    """Sort key of a machine: the new owner probes machines in ascending order."""
 
     unreachable: bool
     idle: bool
 
 
 def apply_replica(shard: Shard, replica: Replica) -> ExpectedTasks:
-    """Bring a replica's hints into a shard that was just acquired."""
+    """Apply the hints in a replica to a shard that was just acquired.
+
+    Returns the tasks that the shard should be running according to the replica.
+    """
     state = replica.state
-    shard.corrections.restore(state.factors)
+    shard.corrections.restore(state.corrections)
     _restore_run_times(shard, state)
     expected = ExpectedTasks({})
     for machine_id, copy in state.machines.items():
         machine = shard.machines.get(machine_id)
         if machine is None:
-            continue  # it has left the shard since, by the record
+            continue  # the record shows that the machine has left the shard since
         machine.images.cached.update(copy.images)
         expected.attempts.update(copy.attempts)
     shard.machines = _by_probe_priority(shard, state.machines)
     log.info(
         "failover with replica shard=%s entry=%d machines=%d tasks=%d",
         shard.shard_id,
-        replica.last,
+        replica.last_number,
         len(state.machines),
         len(expected.attempts),
     )
@@ -60,8 +67,11 @@
 
 
 def _by_probe_priority(shard: Shard, copies: dict[str, MachineCopy]) -> dict[str, Machine]:
-    """Reachable machines that hold tasks are asked first, unreachable ones last: each of those uses
-    one of the few requests that may be in flight until it times out."""
+    """Return the shard's machines in the order in which they are to be probed.
+
+    Reachable machines that hold tasks come first and unreachable ones last: a probe of an
+    unreachable machine occupies one of the few requests allowed in flight until it times out.
+    """
 
     def priority(machine_id: str) -> ProbePriority:
         copy = copies.get(machine_id)
@@ -72,7 +82,10 @@
 
 
 def log_comparison(shard: Shard, expected: ExpectedTasks) -> None:
-    """Once every machine is reconciled: how far the replica was from what they run."""
+    """Log how well the replica matched the tasks that the machines reported.
+
+    To be called once every machine of the shard is reconciled.
+    """
     expected.compared = True
     found = {run.task_id: run.attempt for run in shard.runs() if run.attempt < shard.first_attempt}
     matching = sum(expected.attempts.get(task_id) == attempt for task_id, attempt in found.items())
--- a/fallpulley/standby/messages.py
+++ b/fallpulley/standby/messages.py
@@ -1,7 +1,8 @@
-"""Messages between an owner and its followers: tagged arrays on the mesh, payloads compressed.
+"""Messages between a shard's owner and its followers, sent from controller to controller.
 
-A controller without a standby, or of an older version, drops these messages: it does not know
-their tags. They are sent as arrays: the order of fields must not change.
+They are sent as tagged arrays, so the order of fields and the tags must not change; payloads are
+compressed. A controller without a standby, or of an older version, drops these messages because it
+does not know their tags.
 """
 
 from __future__ import annotations
@@ -11,51 +12,52 @@
 import msgspec
 import zstandard
 
-# The format of entries and snapshots; a message in another one is dropped and counted.
+# Format of entries and snapshots. A message in another format is dropped and counted.
 FORMAT = 1
-# Limits of a payload as sent and as unpacked: a request holds 64 KiB, in base64.
+# Largest payload in bytes, compressed and decompressed. A request holds 64 KiB, and payloads are
+# sent in base64, which adds a third.
 MAX_PACKED_BYTES = 40 * 1024
 MAX_UNPACKED_BYTES = 1024 * 1024
 COMPRESSION_LEVEL = 3
 
-# In place of the last entry applied: the follower has no replica.
+# Sent as the number of the last entry applied if the follower has no replica.
 NO_REPLICA = -1
-# In place of the next part of a snapshot: the follower needs none.
+# Sent as the index of the next snapshot part if the follower needs none.
 NO_PART_NEEDED = -1
 
 
 class PayloadError(Exception):
-    """A payload cannot be used; the message says why."""
+    """A payload is damaged or too large."""
 
 
 class LogBatch(msgspec.Struct, tag="standby_log", array_like=True):
-    """Entries of the log from `first` on; with none, it asks the follower for its position."""
+    """Consecutive entries of the log; without any, it asks the follower for its position."""
 
     format: int
     controller_id: str  # of the owner
-    incarnation: str
+    incarnation: str  # of the owner's process
     shard_id: str
     token: int  # the revision at which the owner acquired the shard
-    first: int
-    last: int  # the newest entry of the log, whether sent or not
-    positions: dict[str, int]  # follower -> the last entry it has acknowledged
-    checksum: int
-    payload: bytes
+    first_number: int  # number of the first entry in the payload
+    last_number: int  # number of the latest entry of the log, whether or not in the payload
+    positions: dict[str, int]  # follower -> number of the last entry it has acknowledged
+    checksum: int  # of the payload
+    payload: bytes  # list of entries, see `pack`
 
 
 class SnapshotPart(msgspec.Struct, tag="standby_snapshot", array_like=True):
-    """A part of the state as of entry `last`; a replica begins with all of them."""
+    """One part of a snapshot of the shard. A follower needs all parts to start a replica."""
 
     format: int
-    controller_id: str
-    incarnation: str
+    controller_id: str  # of the owner
+    incarnation: str  # of the owner's process
     shard_id: str
-    token: int
-    last: int
-    part: int
-    parts: int
-    checksum: int
-    payload: bytes
+    token: int  # the revision at which the owner acquired the shard
+    last_number: int  # number of the last entry that the snapshot includes
+    part_index: int  # counted from 0
+    part_count: int
+    checksum: int  # of the payload
+    payload: bytes  # a `Snapshot`, see `pack`
 
 
 class Acknowledgement(msgspec.Struct, tag="standby_ack", array_like=True):
@@ -63,31 +65,31 @@
 
     controller_id: str  # of the follower
     shard_id: str
-    token: int  # the owner's, under which it follows
-    last: int  # the last entry applied, or `NO_REPLICA`
-    snapshot_part: int  # the next part it needs, or `NO_PART_NEEDED`
+    token: int  # the highest token that the follower has received for the shard
+    last_number: int  # number of the last entry applied, or `NO_REPLICA`
+    needed_part: int  # index of the snapshot part needed next, or `NO_PART_NEEDED`
 
 
-class Replaced(msgspec.Struct, tag="standby_replaced", array_like=True):
-    """An owner's message came after another controller had acquired the shard."""
+class OwnerReplaced(msgspec.Struct, tag="standby_replaced", array_like=True):
+    """Tells the sender of a message that another controller has since acquired the shard."""
 
-    controller_id: str  # of the sender
+    controller_id: str  # of the controller that received the replaced owner's message
     shard_id: str
-    token: int  # of the later owner
+    token: int  # shows the replacement: it is higher than the token of the replaced owner
 
 
 ReplicationMessage = LogBatch | SnapshotPart
-FollowerResponse = Acknowledgement | Replaced
-Message = LogBatch | SnapshotPart | Acknowledgement | Replaced
+FollowerResponse = Acknowledgement | OwnerReplaced
+Message = LogBatch | SnapshotPart | Acknowledgement | OwnerReplaced
 
 
 def encode(message: Message) -> bytes:
-    """A message as it goes into a request's body."""
+    """Return the body of the request that carries a message."""
     return msgspec.json.encode(message)
 
 
 def decode(body: bytes) -> Message | None:
-    """The message; None for anything else, which may be for others."""
+    """Return the message in a request's body, or None if it is not a valid standby message."""
     try:
         return msgspec.json.decode(body, type=Message)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
@@ -95,21 +97,25 @@
 
 
 def checksum_of(payload: bytes) -> int:
-    """Shows that a payload was damaged or cut short."""
+    """Return the CRC-32 of a payload, by which damaged or truncated payloads are detected."""
     return zlib.crc32(payload)
 
 
 def pack(value: object) -> bytes:
-    """A payload: JSON, compressed."""
+    """Return a value as a payload: JSON, compressed with zstd."""
     return zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(msgspec.json.encode(value))
 
 
 def unpack(payload: bytes, checksum: int) -> bytes:
-    """The JSON of a payload; raises `PayloadError` when it is damaged or too large."""
+    """Return the decompressed JSON of a payload.
+
+    Raises:
+        PayloadError: The payload is damaged or too large.
+    """
     if checksum_of(payload) != checksum:
-        raise PayloadError("checksum differs")
+        raise PayloadError("payload does not match its checksum")
     if len(payload) > MAX_PACKED_BYTES:
-        raise PayloadError("too large")
+        raise PayloadError("payload too large")
     try:
         parameters = zstandard.get_frame_parameters(payload)
         if parameters.content_size > MAX_UNPACKED_BYTES:
--- a/fallpulley/standby/replica.py
+++ b/fallpulley/standby/replica.py
@@ -1,7 +1,8 @@
-"""A follower's copy of what a shard's owner has decided: a pure state machine.
+"""A follower's replica of a shard: the state that results from the owner's decisions.
 
-It is a hint about which machines to ask first and what to expect after a failover. Nothing is
-confirmed by it: what runs is what machines report under the new token.
+A replica is never changed: `apply_entries` returns a new one. After a failover the replica is a
+hint about which machines to probe first and which tasks to expect. It confirms nothing: only what
+machines report under the new owner's fencing token counts as running.
 """
 
 from __future__ import annotations
@@ -24,63 +25,68 @@
 
 
 class MachineCopy(msgspec.Struct, array_like=True, frozen=True):
-    """A machine as its owner last knew it."""
+    """A machine as the shard's owner last knew it."""
 
     reachable: bool = False
     occupied: bool = False
-    attempts: dict[str, int] = {}  # task_id -> attempt that is on it
-    images: dict[str, float] = {}  # image -> GB, least recently used first
+    attempts: dict[str, int] = {}  # task_id -> attempt that is on the machine
+    images: dict[str, float] = {}  # image -> size in GB, least recently used first
 
 
 class JobCopy(msgspec.Struct, array_like=True, frozen=True):
-    """A job's completed tasks and the sum of their run times in seconds."""
+    """The number of completed tasks of a job and the sum of their run times in seconds."""
 
     observed_tasks: int
     observed_run_s: float
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """A part of a shard's state, or all of it."""
+    """The replicated state of a shard, or one part of it."""
 
     machines: dict[str, MachineCopy] = {}
     jobs: dict[str, JobCopy] = {}
-    factors: dict[str, float] = {}  # job class -> correction of its estimates
+    corrections: dict[str, float] = {}  # job class -> factor on its run-time estimates
 
 
 class Replica(msgspec.Struct, frozen=True):
-    """The state of a shard as of its owner's entry `last`, under the owner's token."""
+    """The state of a shard up to one entry of its owner's log."""
 
     shard_id: str
-    token: int
-    last: int
+    token: int  # the owner's fencing token: the revision at which it acquired the shard
+    last_number: int  # number of the last entry that is applied
     state: Snapshot
 
 
 class GapError(Exception):
-    """Entries are missing between the replica and those that came."""
+    """Entries are missing between a replica and the entries received for it."""
 
 
-def apply_entries(replica: Replica, first: int, entries: list[Entry]) -> Replica:
-    """The replica after the entries from number `first` on. Those that it has are skipped;
-    raises `GapError` when some before them are missing."""
-    if first > replica.last + 1:
-        raise GapError(f"entry {replica.last + 1} is missing, {first} came")
-    new_entries = entries[replica.last + 1 - first :]
+def apply_entries(replica: Replica, first_number: int, entries: list[Entry]) -> Replica:
+    """Return the replica with entries applied of which the first one has number `first_number`.
+
+    Entries that the replica already includes are skipped.
+
+    Raises:
+        GapError: Entries between the replica and entry `first_number` are missing.
+    """
+    if first_number > replica.last_number + 1:
+        raise GapError(f"expected entry {replica.last_number + 1}, received entry {first_number}")
+    new_entries = entries[replica.last_number + 1 - first_number :]
     if not new_entries:
         return replica
     old = replica.state
-    state = Snapshot(dict(old.machines), dict(old.jobs), dict(old.factors))
+    state = Snapshot(dict(old.machines), dict(old.jobs), dict(old.corrections))
     for entry in new_entries:
         _apply_entry(state, entry)
-    return Replica(replica.shard_id, replica.token, replica.last + len(new_entries), state)
+    return Replica(replica.shard_id, replica.token, replica.last_number + len(new_entries), state)
 
 
 def _apply_entry(state: Snapshot, entry: Entry) -> None:
-    """Change a state that nothing else refers to yet."""
+    """Apply an entry to `state` in place; nothing else may refer to `state` yet."""
     if isinstance(entry, RunTimeObserved):
         state.jobs[entry.job_id] = JobCopy(entry.observed_tasks, entry.observed_run_s)
     elif isinstance(entry, CorrectionChanged):
-        state.factors[entry.job_class] = entry.correction
+        state.corrections[entry.job_class] = entry.correction
     elif isinstance(entry, MachineReleased):
         state.machines.pop(entry.machine_id, None)
     else:
@@ -116,14 +122,15 @@
     if isinstance(entry, ImageCached):
         older = {name: size for name, size in machine.images.items() if name != entry.image}
         return replace(machine, images=older | {entry.image: entry.image_gb})
-    return machine  # granted, or a task is to stop: it is there until it has ended
+    # A grant changes nothing here. A stopped attempt stays on its machine until it has ended.
+    return machine
 
 
 def join_parts(parts: list[Snapshot]) -> Snapshot:
-    """A shard's state from all parts of its snapshot."""
+    """Return a shard's state from all parts of its snapshot."""
     state = Snapshot({}, {}, {})
     for part in parts:
         state.machines.update(part.machines)
         state.jobs.update(part.jobs)
-        state.factors.update(part.factors)
+        state.corrections.update(part.corrections)
     return state
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -1,4 +1,4 @@
-"""The extension that replicates owned shards, and follows those that other controllers own."""
+"""The warm-standby extension: replicates owned shards and follows those of other controllers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     NO_REPLICA,
     Acknowledgement,
     FollowerResponse,
-    Replaced,
+    OwnerReplaced,
     ReplicationMessage,
     decode,
     encode,
@@ -25,41 +25,46 @@
 
 log = logging.getLogger(__name__)
 
-# A log keeps as many entries as all machines that there are sockets for make in so many heartbeats.
+# Capacity of a log in entries per socket: one machine per socket, with one entry for each of this
+# many heartbeats.
 LOG_HEARTBEATS = 8.0
-# Of a controller's share of a core, what sending may use, and what a byte costs in core-seconds:
-# measured on the simulated controllers, rounded up (docs/standby.md).
+# Share of the controller's allowance of processor time (`core_share`) that sending may use.
 SEND_CORE_SHARE = 0.02
+# Processor time that sending takes per payload byte, in core-seconds: measured on simulated
+# controllers and rounded up (docs/standby.md).
 CORE_SECONDS_PER_BYTE = 4e-8
-# A follower that others are ahead of waits for this share of a session before it claims the lead.
-YIELD_SESSIONS = 0.15
-# Messages due are looked for each time this part of a batch interval has passed.
-CHECK_BATCHES = 0.25
-# A replica that lags for so many batch intervals is logged, once.
-LAG_BATCHES = 10.0
-# The state of each stream is logged every so many batch intervals.
-STATUS_BATCHES = 60.0
-
-# Sends a message to a peer by its controller_id.
+# How long a controller leaves the leadership to others with newer replicas, as a share of a
+# session.
+CLAIM_DELAY_SESSIONS = 0.15
+# Time between two checks for messages that are due, in batch intervals.
+CHECK_INTERVAL_BATCHES = 0.25
+# Time after which a replica that is behind is logged, once, in batch intervals.
+LAG_LOG_BATCHES = 10.0
+# Time between two log lines on the status of a stream, in batch intervals.
+STATUS_INTERVAL_BATCHES = 60.0
+
+# Sends the body of a message to a controller by its controller_id.
 SendMessage = Callable[[str, bytes], None]
 
 
 class Standby(Extension):
-    """Warm standby of one controller."""
+    """Replication of one controller: the streams it sends and the replicas it keeps."""
 
     peer_message_prefix = b'["standby_'
 
     def __init__(self, context: ControllerContext, registry: Registry, send: SendMessage) -> None:
         self.context = context
         self.registry = registry
-        self.limits = _limits_of(context)
+        self.limits = _stream_limits(context)
         self.follower = Follower(context.controller_id, self._owner_of)
-        self.streams: dict[str, ShardStream] = {}  # by owned shard
-        self.expected: dict[str, ExpectedTasks] = {}  # by owned shard that had a replica
+        self.streams: dict[str, ShardStream] = {}  # by shard_id of the owned shard
+        # By shard_id; only owned shards that were acquired with a usable replica.
+        self.expected_tasks: dict[str, ExpectedTasks] = {}
         self._send = send
-        self._logged_replaced: set[str] = set()  # shards of which it was logged
-        self._logged_lagging: set[str] = set()
-        self._next_check_at = float("-inf")  # by the monotonic clock
+        self._logged_replaced: set[str] = set()  # owned shards logged as owned by another by now
+        self._logged_lagging: set[str] = set()  # followed shards logged as lagging
+        # In seconds of the monotonic clock.
+        self._next_check_at = float("-inf")
         self._next_status_at = float("-inf")
 
     def _owner_of(self, shard_id: str) -> ShardOwner | None:
@@ -69,16 +74,16 @@
         record, mod_revision = entry
         return ShardOwner(record.owner, record.incarnation, mod_revision)
 
-    # -- events of the controller ----------------------------------------------------------
+    # -- ownership and sessions ------------------------------------------------------------
 
     def on_shard_acquired(self, shard: Shard, previous: OwnerProcess | None) -> None:
-        """Use the replica, if it is of the previous owner, and begin a stream to the followers."""
+        """Apply the replica if it is the previous owner's, and start a stream to the followers."""
         followed = self.follower.shards.pop(shard.shard_id, None)
         self._logged_replaced.discard(shard.shard_id)
-        self.expected.pop(shard.shard_id, None)
+        self.expected_tasks.pop(shard.shard_id, None)
         if followed is not None and followed.replica is not None:
             if previous == OwnerProcess(followed.owner, followed.incarnation):
-                self.expected[shard.shard_id] = apply_replica(shard, followed.replica)
+                self.expected_tasks[shard.shard_id] = apply_replica(shard, followed.replica)
         elif previous is not None:
             log.info("failover without replica shard=%s", shard.shard_id)
         followers = [peer.controller_id for peer in self.context.settings.peers]
@@ -89,26 +94,26 @@
         self.streams[shard.shard_id] = stream
 
     def on_shard_lost(self, shard_id: str) -> None:
-        """End the stream: another controller owns the shard."""
+        """End the stream of a shard that another controller owns now."""
         self.streams.pop(shard_id, None)
-        self.expected.pop(shard_id, None)
+        self.expected_tasks.pop(shard_id, None)
 
     def on_session_began(self, controller_id: str) -> None:
-        """A new process of a follower has no replica."""
+        """Handle the start of a controller's new process, which has no replica."""
         for stream in self.streams.values():
-            stream.on_follower_session(controller_id)
+            stream.on_follower_restarted(controller_id)
 
     # -- messages --------------------------------------------------------------------------
 
     def on_peer_message(self, body: bytes) -> None:
-        """A message of an owner to its follower, or of a follower to the owner."""
+        """Handle a message from a shard's owner to a follower, or from a follower to the owner."""
         message = decode(body)
         if message is None:
             self.follower.count_malformed()
         elif isinstance(message, Acknowledgement):
             self._on_acknowledgement(message)
-        elif isinstance(message, Replaced):
-            self._on_replaced(message)
+        elif isinstance(message, OwnerReplaced):
+            self._on_owner_replaced(message)
         else:
             response = self._handle_replication(message)
             if response is not None:
@@ -117,8 +122,8 @@
     def _handle_replication(self, message: ReplicationMessage) -> FollowerResponse | None:
         stream = self.streams.get(message.shard_id)
         if stream is not None and message.token <= stream.token:
-            # This controller owns the shard: the sender was replaced and does not know it yet.
-            return Replaced(self.context.controller_id, message.shard_id, stream.token)
+            # This controller owns the shard; the sender does not know yet that it was replaced.
+            return OwnerReplaced(self.context.controller_id, message.shard_id, stream.token)
         return self.follower.handle(message, self.context.now)
 
     def _on_acknowledgement(self, message: Acknowledgement) -> None:
@@ -126,9 +131,12 @@
         if stream is not None:
             stream.on_acknowledgement(message)
 
-    def _on_replaced(self, message: Replaced) -> None:
-        """It is logged, no more, also where the records as last seen do not show it yet: they
-        decide, and until they do the response window holds."""
+    def _on_owner_replaced(self, message: OwnerReplaced) -> None:
+        """Log that, according to another controller, this one was replaced as a shard's owner.
+
+        Nothing else follows from the message: only the records decide who owns a shard. Until this
+        controller sees the new record, its response window limits how long it goes on responding.
+        """
         stream = self.streams.get(message.shard_id)
         if stream is None or message.token <= stream.token:
             return
@@ -146,20 +154,20 @@
     # -- time ------------------------------------------------------------------------------
 
     def on_step(self) -> None:
-        """Send the messages that are due, and log how far replicas are behind."""
+        """Send the messages that are due, and log the state of streams and replicas."""
         now = self.context.now
         if now < self._next_check_at:
             return
-        self._next_check_at = now + CHECK_BATCHES * self.limits.batch_s
+        self._next_check_at = now + CHECK_INTERVAL_BATCHES * self.limits.batch_s
         for stream in self.streams.values():
             for follower, message in stream.next_messages(now):
                 self._send(follower, encode(message))
         if now >= self._next_status_at:
-            self._next_status_at = now + STATUS_BATCHES * self.limits.batch_s
+            self._next_status_at = now + STATUS_INTERVAL_BATCHES * self.limits.batch_s
             self._log_status()
         for shard_id, followed in self.follower.shards.items():
             self._log_lag(shard_id, followed)
-        for shard_id, expected in self.expected.items():
+        for shard_id, expected in self.expected_tasks.items():
             shard = self.streams[shard_id].shard
             if not expected.compared and not shard.unreconciled:
                 log_comparison(shard, expected)
@@ -171,7 +179,7 @@
                 "replication status shard=%s token=%d entries=%d bytes=%d lags=%s",
                 shard_id,
                 stream.token,
-                stream.log.last,
+                stream.log.last_number,
                 stream.sent_bytes,
                 ",".join(f"{follower}:{lag}" for follower, lag in lags.items()),
             )
@@ -179,7 +187,7 @@
     def _log_lag(self, shard_id: str, followed: FollowedShard) -> None:
         since = followed.behind_since
         behind_s = self.context.now - since if since is not None else 0.0
-        if behind_s > LAG_BATCHES * self.limits.batch_s:
+        if behind_s > LAG_LOG_BATCHES * self.limits.batch_s:
             if shard_id not in self._logged_lagging:
                 self._logged_lagging.add(shard_id)
                 log.info(
@@ -195,26 +203,30 @@
     # -- leadership ------------------------------------------------------------------------
 
     def hold_off_s(self) -> float:
-        """How long to leave the lead to a controller whose replica is fresher, in seconds; this
-        one claims it in the end whether or not that one has a session."""
+        """Return how long to leave a free leadership to others with newer replicas, in seconds.
+
+        After that time this controller claims the leadership even if those others have sessions.
+        """
         for shard_id, (record, _) in self.registry.shards.items():
-            if not self.registry.owner_alive(record) and self._others_fresher(shard_id):
-                return YIELD_SESSIONS * self.context.timing.session_s
+            if not self.registry.owner_alive(record) and self._others_newer(shard_id):
+                return CLAIM_DELAY_SESSIONS * self.context.timing.session_s
         return 0.0
 
-    def _others_fresher(self, shard_id: str) -> bool:
-        """Another controller with a session has a fresher replica, or may have one while there is
-        none here: a process that had just begun had no replica, and yet it once was faster than all
-        others."""
+    def _others_newer(self, shard_id: str) -> bool:
+        """Return whether another controller with a session has, or may have, a newer replica.
+
+        Without a replica of its own, this controller assumes that the others have one. A process
+        that had just started, without any replica, once claimed the leadership before all others.
+        """
         others = self.registry.sessions.keys() - {self.context.controller_id}
         followed = self.follower.shards.get(shard_id)
         if followed is None or followed.replica is None:
             return bool(others)
-        last = followed.replica.last
-        return any(followed.positions.get(other, NO_REPLICA) > last for other in others)
+        last_number = followed.replica.last_number
+        return any(followed.positions.get(other, NO_REPLICA) > last_number for other in others)
 
 
-def _limits_of(context: ControllerContext) -> StreamLimits:
+def _stream_limits(context: ControllerContext) -> StreamLimits:
     limits = context.settings.facts.machine_limits
     return StreamLimits(
         context.settings.operators.standby.batch_s,
--- a/fallpulley/standby/snapshot.py
+++ b/fallpulley/standby/snapshot.py
@@ -1,4 +1,4 @@
-"""The state of an owned shard, in parts that each fit a message."""
+"""Snapshots of an owned shard, in parts that each fit into one message."""
 
 from __future__ import annotations
 
@@ -7,13 +7,19 @@
 from fallpulley.standby.replica import JobCopy, MachineCopy, Snapshot
 from fallpulley.workers.machine import Machine
 
-# Machines or jobs in a part: packed, some 10 KiB.
+# Most machines or jobs in one part of a snapshot: about 10 KiB when compressed.
 MAX_PART_ITEMS = 150
 
 
 def snapshot_parts(shard: Shard) -> list[Snapshot]:
-    """The corrections of estimates in the first part, then machines, then jobs."""
-    machines = [(machine_id, _copy(machine)) for machine_id, machine in shard.machines.items()]
+    """Return a snapshot of the shard in parts.
+
+    The first part holds the corrections of run-time estimates; parts with machines follow, then
+    parts with jobs.
+    """
+    machines = [
+        (machine_id, _copy_machine(machine)) for machine_id, machine in shard.machines.items()
+    ]
     jobs = [
         (job_id, JobCopy(job.run_times.tasks, round(job.run_times.total_s, RUN_TIME_DIGITS)))
         for job_id, job in shard.jobs.items()
@@ -27,7 +33,7 @@
     return parts
 
 
-def _copy(machine: Machine) -> MachineCopy:
+def _copy_machine(machine: Machine) -> MachineCopy:
     attempts = {run.task_id: run.attempt for run in machine.runs.values()}
     return MachineCopy(
         machine.heartbeat.online, machine.entry.occupied, attempts, dict(machine.images.cached)
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -1,7 +1,8 @@
-"""The owner's side: sends the log of its decisions to each follower.
+"""The owner's side of replication: sends the log of a shard's decisions to each follower.
 
-A follower is sent one message at a time and the next one when it has acknowledged: a slow one
-costs the owner nothing, and is sent a snapshot once the log has dropped the entries it needs.
+The owner sends a follower one message at a time, and the next one after the acknowledgement. A slow
+follower therefore takes up no further resources of the owner; once the log has dropped entries that
+the follower needs, the follower gets a snapshot.
 """
 
 from __future__ import annotations
@@ -28,39 +29,40 @@
 from fallpulley.standby.snapshot import snapshot_parts
 from fallpulley.state.token_bucket import TokenBucket
 
-# Entries in a message: packed, some 10 KiB.
+# Most entries in one message: about 10 KiB when compressed.
 MAX_BATCH_ENTRIES = 500
-# A message that is not acknowledged is sent again after so many batch intervals.
-RESEND_BATCHES = 4.0
-# Without new entries, messages go out at this multiple of the batch interval: they show the
-# follower that there are none.
-IDLE_BATCHES = 4.0
-# A follower that never responded, of an older version perhaps, is asked at this multiple.
-UNRESPONSIVE_BATCHES = 20.0
+# Time until a message that was not acknowledged is sent again, in batch intervals.
+RESEND_INTERVAL_BATCHES = 4.0
+# Time between messages while there are no new entries, in batch intervals. These messages show the
+# follower that it is up to date.
+IDLE_INTERVAL_BATCHES = 4.0
+# Time between messages to a follower that has never responded, in batch intervals. Such a follower
+# may run an older version or have no standby.
+UNRESPONSIVE_INTERVAL_BATCHES = 20.0
 
 
 class StreamLimits(msgspec.Struct, frozen=True):
-    """Bounds of a stream, derived from the settings."""
+    """Limits of a stream, derived from the settings."""
 
-    batch_s: float  # the batch interval
-    log_entries: int  # kept for followers that are behind
-    bytes_per_s: float  # of payloads, to all followers
+    batch_s: float  # batch interval: time between two messages to a follower, in seconds
+    log_entries: int  # most entries that the log keeps for followers that are behind
+    bytes_per_s: float  # payload bytes per second, to all followers together
 
 
 class FollowerPosition(msgspec.Struct):
-    """How far a follower is, as far as the owner knows, and what it is being sent."""
+    """What the owner knows of a follower's replica, and what it is sending to the follower."""
 
-    last: int = NO_REPLICA  # the last entry acknowledged
-    responded: bool = False  # at least once
-    sent_at: float = float("-inf")  # by the monotonic clock
-    in_flight: bool = False  # a message has not been acknowledged yet
-    parts: list[Snapshot] = []  # of the snapshot that is being sent
-    parts_last: int = 0  # the newest entry that the snapshot includes
-    next_part: int = 0
+    acknowledged_number: int = NO_REPLICA  # number of the last entry acknowledged
+    responded: bool = False  # whether the follower's process has ever responded
+    sent_at: float = float("-inf")  # time of the last message, in seconds of the monotonic clock
+    in_flight: bool = False  # whether the last message is not acknowledged yet
+    parts: list[Snapshot] = []  # of the snapshot being sent; empty: none is
+    snapshot_number: int = 0  # number of the last entry that the snapshot includes
+    next_part: int = 0  # index of the snapshot part to send next
 
 
 class OutgoingMessage(NamedTuple):
-    """A message, and the controller that gets it."""
+    """A message, and the controller_id of the follower to send it to."""
 
     follower: str
     message: ReplicationMessage
@@ -77,7 +79,10 @@
         followers: Iterable[str],
         limits: StreamLimits,
     ) -> None:
-        """`controller_id` and `incarnation` are the owner's, `followers` controllers."""
+        """Start an empty log for a shard that was just acquired.
+
+        `controller_id` and `incarnation` are the owner's; `followers` are controller_ids.
+        """
         self.shard = shard
         self.controller_id = controller_id
         self.incarnation = incarnation
@@ -85,16 +90,22 @@
         self.log = DecisionLog(limits.log_entries)
         self.positions = {follower: FollowerPosition() for follower in followers}
         self.take_snapshot: Callable[[Shard], list[Snapshot]] = snapshot_parts
-        self.sent_bytes = 0  # of payloads, to all followers
+        self.sent_bytes = 0  # payload bytes sent to all followers
         self._bucket = TokenBucket(limits.bytes_per_s)
 
     @property
     def token(self) -> int:
-        """The revision at which the shard was acquired: the same for as long as it is owned."""
+        """The revision at which the shard was acquired.
+
+        It stays the same for as long as this controller owns the shard.
+        """
         return self.shard.acquired_revision
 
     def next_messages(self, now: float) -> list[OutgoingMessage]:
-        """The messages to send now, within the limit of bytes a second."""
+        """Return the messages to send at `now`, within the limit of bytes per second.
+
+        `now` is in seconds of the monotonic clock.
+        """
         self._bucket.refill(now)
         messages = []
         for follower, position in self.positions.items():
@@ -110,57 +121,65 @@
             messages.append(OutgoingMessage(follower, message))
         return messages
 
-    def on_follower_session(self, follower: str) -> None:
-        """A follower has a new process: it is asked for its position at once."""
+    def on_follower_restarted(self, follower: str) -> None:
+        """Reset the position of a follower that has a new process, to ask for it at once."""
         if follower in self.positions:
             self.positions[follower] = FollowerPosition()
 
     def lag_by_follower(self) -> dict[str, int]:
-        """Entries that each follower has not acknowledged; all, where it has no replica."""
+        """Return how many entries each follower has not acknowledged.
+
+        For a follower without a replica that is the number of all entries.
+        """
         return {
-            follower: self.log.last - max(0, position.last)
+            follower: self.log.last_number - max(0, position.acknowledged_number)
             for follower, position in self.positions.items()
         }
 
     # -- sending ---------------------------------------------------------------------------
 
     def _interval_s(self, position: FollowerPosition) -> float:
-        """The time between the last message and the next one."""
+        """Return the least time between the last message and the next one, in seconds."""
         if not position.in_flight:
             if self._has_more(position):
                 return 0.0
-            idle = not position.parts and position.last == self.log.last
-            return (IDLE_BATCHES if idle else 1.0) * self.limits.batch_s
-        batches = RESEND_BATCHES if position.responded else UNRESPONSIVE_BATCHES
+            idle = not position.parts and position.acknowledged_number == self.log.last_number
+            return (IDLE_INTERVAL_BATCHES if idle else 1.0) * self.limits.batch_s
+        batches = RESEND_INTERVAL_BATCHES if position.responded else UNRESPONSIVE_INTERVAL_BATCHES
         return batches * self.limits.batch_s
 
     def _has_more(self, position: FollowerPosition) -> bool:
-        """More waits than a message holds: the next one is sent as soon as the last is
-        acknowledged, within the limit of bytes. At one message an interval, the owner of a fleet of
-        thousands decided more than the stream carried, and its snapshots were out of date before
-        their last part."""
+        """Return whether more is left to send than fits into one message.
+
+        If so, the next message is sent as soon as the last one is acknowledged, within the limit of
+        bytes per second. With only one message per interval, the owner of thousands of machines
+        made decisions faster than the stream carried them, and a snapshot was out of date before
+        its last part was sent.
+        """
         if position.parts:
             return position.next_part > 0
-        return 0 <= position.last < self.log.last - MAX_BATCH_ENTRIES
+        return 0 <= position.acknowledged_number < self.log.last_number - MAX_BATCH_ENTRIES
 
     def _next_message(self, position: FollowerPosition) -> ReplicationMessage:
         return self._snapshot_part(position) if position.parts else self._log_batch(position)
 
     def _log_batch(self, position: FollowerPosition) -> LogBatch:
-        entries_dropped = position.last + 1 < self.log.first
-        if position.last < 0 or entries_dropped:
+        entries_dropped = position.acknowledged_number + 1 < self.log.first_number
+        if position.acknowledged_number < 0 or entries_dropped:
             payload = pack([])
         else:
-            payload = pack(self.log.entries_from(position.last + 1, MAX_BATCH_ENTRIES))
+            payload = pack(
+                self.log.entries_from(position.acknowledged_number + 1, MAX_BATCH_ENTRIES)
+            )
         return LogBatch(
             FORMAT,
             self.controller_id,
             self.incarnation,
             self.shard.shard_id,
             self.token,
-            max(position.last, 0) + 1,
-            self.log.last,
-            {follower: other.last for follower, other in self.positions.items()},
+            max(position.acknowledged_number, 0) + 1,
+            self.log.last_number,
+            {follower: other.acknowledged_number for follower, other in self.positions.items()},
             checksum_of(payload),
             payload,
         )
@@ -173,7 +192,7 @@
             self.incarnation,
             self.shard.shard_id,
             self.token,
-            position.parts_last,
+            position.snapshot_number,
             position.next_part,
             len(position.parts),
             checksum_of(payload),
@@ -183,37 +202,38 @@
     # -- acknowledgements ------------------------------------------------------------------
 
     def on_acknowledgement(self, message: Acknowledgement) -> None:
-        """Update a follower's position, if it follows under the token of this stream."""
+        """Update the position of a follower, unless it acknowledges another owner's messages."""
         position = self.positions.get(message.controller_id)
         if position is None or message.token != self.token:
             return
-        if message.snapshot_part <= NO_PART_NEEDED:
-            self._on_entries_acknowledged(position, message.last)
+        if message.needed_part <= NO_PART_NEEDED:
+            self._on_entries_acknowledged(position, message.last_number)
         else:
-            self._on_part_needed(position, message.snapshot_part)
+            self._on_part_needed(position, message.needed_part)
 
-    def _on_entries_acknowledged(self, position: FollowerPosition, last: int) -> None:
-        if position.parts and last < position.parts_last and not position.next_part:
-            return  # from before the snapshot that is being sent
+    def _on_entries_acknowledged(self, position: FollowerPosition, last_number: int) -> None:
+        if position.parts and last_number < position.snapshot_number and not position.next_part:
+            return  # sent before the follower received any part of the current snapshot
         position.responded, position.in_flight = True, False
-        # Also where parts of a snapshot have come: the follower has dropped them, for they were of
-        # another one. The same part was once sent again and again, and never needed.
+        # Stop sending the snapshot, even after some of its parts were received: the follower has
+        # discarded those parts because they belonged to another snapshot. Without this, the owner
+        # kept resending one part that the follower never needed.
         position.parts = []
-        position.last = max(position.last, last)
-        if position.last + 1 < self.log.first:
-            self._begin_snapshot(position)
+        position.acknowledged_number = max(position.acknowledged_number, last_number)
+        if position.acknowledged_number + 1 < self.log.first_number:
+            self._start_snapshot(position)
 
-    def _on_part_needed(self, position: FollowerPosition, part: int) -> None:
-        """The follower needs this part of the snapshot; part 0: of any snapshot."""
+    def _on_part_needed(self, position: FollowerPosition, part_index: int) -> None:
+        """Prepare the part that a follower needs; with index 0 it accepts any snapshot."""
         position.responded, position.in_flight = True, False
-        position.last = NO_REPLICA
-        restarted = part == 0 and position.next_part > 0
-        if not position.parts or restarted or part >= len(position.parts):
-            self._begin_snapshot(position)
+        position.acknowledged_number = NO_REPLICA
+        restarted = part_index == 0 and position.next_part > 0
+        if not position.parts or restarted or part_index >= len(position.parts):
+            self._start_snapshot(position)
         else:
-            position.next_part = part
+            position.next_part = part_index
 
-    def _begin_snapshot(self, position: FollowerPosition) -> None:
+    def _start_snapshot(self, position: FollowerPosition) -> None:
         position.parts = self.take_snapshot(self.shard)
-        position.parts_last = self.log.last
+        position.snapshot_number = self.log.last_number
         position.next_part = 0
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -31,8 +31,8 @@
     MAX_PACKED_BYTES,
     Acknowledgement,
     LogBatch,
+    OwnerReplaced,
     PayloadError,
-    Replaced,
     SnapshotPart,
     checksum_of,
     decode,
@@ -111,7 +111,7 @@
     entries = entries_of(random.Random(1), 40)
     empty = Replica("block", 7, 0, Snapshot())
     whole = apply_entries(empty, 1, entries)
-    assert whole.last == 40 and empty.state.machines == {}
+    assert whole.last_number == 40 and empty.state.machines == {}
     partly = apply_entries(empty, 1, entries[:25])
     assert apply_entries(partly, 11, entries[10:]) == whole
     assert apply_entries(whole, 1, entries[:9]) == whole
@@ -157,13 +157,13 @@
                 continue
             answer = follower.handle(message, now)
             if message.token < 20:
-                assert isinstance(answer, Replaced) and answer.token >= 20
+                assert isinstance(answer, OwnerReplaced) and answer.token >= 20
                 continue
             if answer is not None and (quiet or chance.random() >= loss):
                 flying.append((now + (0.0 if quiet else chance.random()), answer))
     followed = follower.shards["block"]
     assert followed.replica is not None and followed.replica.token == 20
-    assert followed.replica.last == stream.log.last and follower.lag(followed) == 0
+    assert followed.replica.last_number == stream.log.last_number and follower.lag(followed) == 0
     assert on_machines(followed.replica) == on_machines(Replica("block", 20, 0, state[0]))
 
 
@@ -225,7 +225,7 @@
     )
     answer = follower.handle(part, 0.0)
     assert isinstance(answer, Acknowledgement)
-    assert (answer.last, answer.snapshot_part) == (3, -1)
+    assert (answer.last_number, answer.needed_part) == (3, -1)
     message = batch("node-0", 5, 4, [TaskStarted("a", "job-1/0", 1)], first=4)
     if fault == "checksum":
         message.checksum ^= 1
@@ -245,9 +245,9 @@
     if fault == "format":
         assert answer is None
     else:
-        assert isinstance(answer, Acknowledgement) and answer.snapshot_part == 0
+        assert isinstance(answer, Acknowledgement) and answer.needed_part == 0
         again = follower.handle(part, 2.0)
-        assert isinstance(again, Acknowledgement) and again.snapshot_part == -1
+        assert isinstance(again, Acknowledgement) and again.needed_part == -1
 
 
 def test_payloads_are_bounded_packed_and_unpacked() -> None:
@@ -374,7 +374,9 @@
     # The last word of the holder tells the stale one how far the other is.
     stream = next(iter(standby_of(world.controllers[old]).streams.values()))
     followed = standby_of(world.controllers[stale]).follower.shards[stream.shard.shard_id]
-    followed.positions = {label: entry.last for label, entry in stream.positions.items()}
+    followed.positions = {
+        label: entry.acknowledged_number for label, entry in stream.positions.items()
+    }
     assert followed.positions[fresh] > followed.positions[stale]
     world.crash(old, *([fresh] if gone else []))
     crashed_at = world.now
@@ -405,7 +407,7 @@
     world.until(lambda: world.holder() != old, 8.0)
     assert world.holder() == knowing or moment_s > 1.0
     new = standby_of(holder_of(world))
-    world.until(lambda: bool(new.expected), 1.0)
+    world.until(lambda: bool(new.expected_tasks), 1.0)
     world.until(lambda: world.stage(job) == "done", 90.0)
 
 
@@ -497,8 +499,10 @@
     other = others(old)[1]
     world.run(1.0)
     replica = replica_of(world, other)
-    assert replica is not None and stream.log.last - replica.last <= 2
-    assert len(sent) <= (world.now - 100.0) / (0.2 * stream_module.UNRESPONSIVE_BATCHES) + 2
+    assert replica is not None and stream.log.last_number - replica.last_number <= 2
+    assert (
+        len(sent) <= (world.now - 100.0) / (0.2 * stream_module.UNRESPONSIVE_INTERVAL_BATCHES) + 2
+    )
 
 
 @seed(7)
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -243,7 +243,7 @@
     "log batch": Kind(standby.LogBatch, standby.decode, standby.encode),
     "snapshot part": Kind(standby.SnapshotPart, standby.decode, standby.encode),
     "acknowledgement": Kind(standby.Acknowledgement, standby.decode, standby.encode),
-    "replaced": Kind(standby.Replaced, standby.decode, standby.encode),
+    "replaced": Kind(standby.OwnerReplaced, standby.decode, standby.encode),
     "checksum": Kind(int, standby.checksum_of, None),
     "entries payload": Kind(list, decode_payload(list[entries.Entry]), standby.pack),
     "snapshot payload": Kind(replica.Snapshot, decode_payload(replica.Snapshot), standby.pack),
