--- a/fallpulley/duties/__init__.py
+++ b/fallpulley/duties/__init__.py
@@ -1,7 +1,8 @@
-"""Duties: actions on machines and records that one controller at a time may carry out.
+"""Duties: actions on machines and records that only one controller at a time may carry out.
 
-Scaling out, releasing, adopting machines and cleaning up records each have one owner, by a lease
-and a fencing token, and every action on the cloud is recorded before it goes out (docs/duties.md).
+There are four duties: scaling out, releasing machines, adopting machines and cleaning up records.
+Each has one owner, established by a lease and a fencing token. Every request to rent or release
+machines is recorded before it is sent to the cloud (docs/duties.md).
 
-Nothing here is imported unless `[duties] enabled = true` stands in fallpulley.toml.
+The package is imported only if `[duties] enabled = true` is set in fallpulley.toml.
 """
--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -1,7 +1,8 @@
-"""Lets an action on machines through once its intent is durable and its duty certainly owned.
+"""Permits an action on machines once its intent is durable and its duty is certainly owned.
 
-The next owner of a duty carries out the intents that its predecessor left open first: all actions
-may be repeated, and what comes late from a predecessor is then what has been done already.
+The next owner of a duty first carries out the intents that the previous owner left unresolved. All
+actions are safe to repeat, so a delayed request from the previous owner has no further effect: the
+same action has been carried out already.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.records.keys import SHARD_PREFIX
 
-# The machine ids of one intent take at most this share of the longest value of a record.
+# Most bytes that the machine ids of one intent may take, as a share of the largest record value.
 MAX_INTENT_VALUE_SHARE = 0.5
 
 
 class DutyActionGuard(ActionGuard):
-    """Permits what this controller has recorded under the token of a duty."""
+    """Permits only actions that were recorded, and only while this controller owns their duty."""
 
     def __init__(
         self,
@@ -40,19 +41,25 @@
         self._intents = intents
 
     def may_adopt(self) -> bool:
-        """This controller may adopt or release machines that no record knows."""
+        """Return whether this controller may adopt or release machines without a record."""
         return self._ownership.owns(Duty.ADOPTION)
 
     def cleanup_conditions(self) -> dict[str, int] | None:
-        """Conditions for deleting records (key -> revision); None: it is another one's duty."""
+        """Return the conditions for deleting records that are no longer needed (key -> revision).
+
+        None: this controller does not own the duty.
+        """
         token = self._ownership.token(Duty.CLEANUP)
         return None if token is None else {duty_key(Duty.CLEANUP): token}
 
     # -- scaling out -----------------------------------------------------------------------
 
     def may_scale_out(self, request: RentalRequest, shard_id: str) -> bool:
-        """The request is recorded and the duty owned. What is not recorded yet is written now,
-        unless a previous owner's rental is still open."""
+        """Return whether the rental request may be sent: it is recorded and the duty is owned.
+
+        If only the record is missing, it is written now, unless a rental of a previous owner is
+        still unresolved.
+        """
         token = self._ownership.token(Duty.SCALE_OUT)
         if token is None:
             return False
@@ -64,12 +71,12 @@
         return False
 
     def on_rental_resolved(self, request_id: str) -> None:
-        """The cloud has answered the rental for good."""
+        """Delete the intents of a rental that the cloud has answered for good."""
         for key in self._intents_of_request(request_id):
             self._intents.delete(key)
 
     def resume_scale_outs(self) -> None:
-        """Send the recorded rentals again that are not resolved, also those of predecessors."""
+        """Resend the recorded rentals that are not resolved, including those of previous owners."""
         if not self._ownership.owns(Duty.SCALE_OUT):
             return
         for key, action in self._duty_registry.scale_outs():
@@ -77,7 +84,10 @@
                 self._provider.resume_rental(action.request, action.shard_id)
 
     def _intents_of_request(self, request_id: str) -> list[str]:
-        """Keys of the intents of a rental: two, where the response to the first was lost."""
+        """Return the keys of a rental's intents.
+
+        There are two if the response to the first write was lost and the rental was recorded again.
+        """
         return [
             key
             for key, action in self._duty_registry.scale_outs()
@@ -87,8 +97,10 @@
     # -- releasing -------------------------------------------------------------------------
 
     def next_release_batch(self, machine_ids: list[str]) -> list[str]:
-        """The machines whose release may go out now: those of the oldest open intent. Where there
-        is none, one is recorded for `machine_ids`."""
+        """Return the machines to release now: those of the oldest unresolved intent.
+
+        If there is none, record an intent for `machine_ids` and return an empty list.
+        """
         token = self._ownership.token(Duty.RELEASE)
         if token is None:
             return []
@@ -99,7 +111,7 @@
         return []
 
     def on_released(self, machine_ids: list[str]) -> None:
-        """The cloud has confirmed that the machines are gone."""
+        """Delete the intents whose machines the cloud has all confirmed as gone."""
         released = set(machine_ids)
         for key, action in list(self._duty_registry.releases()):
             if set(action.machine_ids) <= released:
@@ -113,15 +125,18 @@
             if shard_id is None or self._decide_release(shard_id, machine_id, conditions):
                 batch.append(machine_id)
             else:
-                # Another owner's by now, or its heartbeat came.
+                # Another controller owns its shard by now, or the machine has sent a heartbeat.
                 self._provider.release_requested.discard(machine_id)
-        batch = self._limit_to_value(batch)
+        batch = self._limit_to_record_size(batch)
         if batch:
             self._intents.write(Duty.RELEASE, token, Release(batch), Duty.RELEASE, conditions)
 
     def _decide_release(self, shard_id: str, machine_id: str, conditions: dict[str, int]) -> bool:
-        """Only a shard's owner releases its machines, conditioned on the shard's revision: any
-        later owner sees the intent before it acquires the shard. False: not to be released."""
+        """Decide to release a machine of a shard; return False if it must not be released.
+
+        Only the owner of the shard may decide this. The shard's revision is added to `conditions`,
+        so that any later owner sees the intent before it acquires the shard.
+        """
         shard = self._access.owned.shards.get(shard_id)
         if shard is None:
             return False
@@ -132,7 +147,8 @@
         conditions[SHARD_PREFIX + shard_id] = shard.fencing_token
         return True
 
-    def _limit_to_value(self, machine_ids: list[str]) -> list[str]:
+    def _limit_to_record_size(self, machine_ids: list[str]) -> list[str]:
+        """Halve a list until one intent can hold it, but keep at least one machine."""
         max_bytes = MAX_INTENT_VALUE_SHARE * self._access.context.record_format.value_bytes
         while len(machine_ids) > 1 and len(msgspec.json.encode(machine_ids)) > max_bytes:
             machine_ids = machine_ids[: len(machine_ids) // 2]
--- a/fallpulley/duties/intents.py
+++ b/fallpulley/duties/intents.py
@@ -1,4 +1,4 @@
-"""Records an action before it goes out, and deletes the record once the cloud has confirmed it."""
+"""Intents: actions recorded before they go out, and deleted once the cloud has confirmed them."""
 
 from __future__ import annotations
 
@@ -17,55 +17,62 @@
 class IntentWriter:
     """Writes and deletes the intents of this controller's duties.
 
-    Each action has a subject, a text under which at most one intent is written at a time.
+    Each action has a deduplication key: while an intent is being written, or is committed but not
+    yet visible in the watch cache, no other intent with the same key is written.
     """
 
     def __init__(self, access: ControllerAccess, duty_registry: DutyRegistry) -> None:
         self._access = access
         self._duty_registry = duty_registry
-        self._intent_count = 0
-        self._writing: set[str] = set()  # subjects of intents that are being written
-        # Subject -> revision of its intent, from its commit until the watch cache shows it.
+        self._intent_count = 0  # intents written by this process
+        self._writing: set[str] = set()  # deduplication keys of intents that are being written
+        # Deduplication key -> revision of its intent, from the commit until the watch cache shows
+        # the intent.
         self._committed_revisions: dict[str, int] = {}
-        self._deleting: set[str] = set()  # keys of intents that are being deleted
+        self._deleting: set[str] = set()  # record keys of intents that are being deleted
 
     @property
     def has_writes_in_flight(self) -> bool:
-        """An intent was sent to the state service and its outcome is not known yet."""
+        """Whether an intent was sent to the state service and its outcome is not known yet."""
         return bool(self._writing)
 
     def is_deleting(self, key: str) -> bool:
-        """The intent's action is resolved, and its record about to be deleted."""
+        """Return whether the intent's action is resolved and its record is being deleted."""
         return key in self._deleting
 
     def on_deleted(self, key: str) -> None:
-        """The records show that the intent was deleted, by whomever."""
+        """Handle the deletion of an intent's record, by this or another controller."""
         self._deleting.discard(key)
 
-    def forget_visible(self) -> None:
-        """Drop the committed intents that the watch cache shows by now."""
-        for subject, revision in list(self._committed_revisions.items()):
+    def forget_visible_intents(self) -> None:
+        """Stop tracking the committed intents that the watch cache shows by now."""
+        for deduplication_key, revision in list(self._committed_revisions.items()):
             if self._access.watch.revision >= revision:
-                del self._committed_revisions[subject]
+                del self._committed_revisions[deduplication_key]
 
     def write(
-        self, duty: Duty, token: int, action: Action, subject: str, conditions: dict[str, int]
+        self,
+        duty: Duty,
+        token: int,
+        action: Action,
+        deduplication_key: str,
+        conditions: dict[str, int],
     ) -> None:
-        """Record an action under the duty's token, if `conditions` hold too (key -> revision).
+        """Record an action under the duty's token if `conditions` (key -> revision) hold as well.
 
-        The action goes out once the watch cache shows the intent.
+        The action is sent once the watch cache shows the intent.
         """
-        if subject in self._writing or subject in self._committed_revisions:
+        if deduplication_key in self._writing or deduplication_key in self._committed_revisions:
             return
-        self._writing.add(subject)
+        self._writing.add(deduplication_key)
         self._intent_count += 1
 
         def on_result(result: WriteResult) -> None:
-            # Without a response, the records show whether the intent is there; one that appears
-            # late is carried out as any other.
-            self._writing.discard(subject)
+            # If the response was lost, the watch cache shows later whether the intent was written.
+            # An intent that appears late is carried out like any other.
+            self._writing.discard(deduplication_key)
             if result.committed:
-                self._committed_revisions[subject] = result.revision
+                self._committed_revisions[deduplication_key] = result.revision
 
         value = msgspec.json.encode(Intent(duty, token, action))
         self._access.compare_and_set(
@@ -76,7 +83,7 @@
         )
 
     def delete(self, key: str) -> None:
-        """Delete an intent whose action is resolved: nobody has to repeat it."""
+        """Delete an intent whose action is resolved, so that no controller repeats the action."""
         if key in self._deleting or key not in self._duty_registry.intents:
             return
         self._deleting.add(key)
--- a/fallpulley/duties/messages.py
+++ b/fallpulley/duties/messages.py
@@ -12,30 +12,33 @@
 
 
 class Duty(StrEnum):
-    """What one controller at a time does for all of them; the values stand in the records."""
+    """A kind of action that one controller at a time carries out; its value stands in records."""
 
     SCALE_OUT = "renting"  # machines are rented
     RELEASE = "returning"  # machines are released to the cloud
-    ADOPTION = "reclaiming"  # machines that no record knows are adopted, or released
-    CLEANUP = "cleaning"  # records that are of no use any more are deleted
+    ADOPTION = "reclaiming"  # machines without a record are adopted or released
+    CLEANUP = "cleaning"  # records that are no longer needed are deleted
 
 
 class DutyRecord(msgspec.Struct, frozen=True, rename={"owner": "holder", "incarnation": "boot"}):
-    """`live/duty/<duty>`, attached to its owner's lease. Its modification revision is the token."""
+    """The record `live/duty/<duty>`, attached to the lease of the duty's owner.
+
+    Its modification revision is the owner's fencing token.
+    """
 
     owner: str  # controller_id
-    incarnation: str
+    incarnation: str  # of the owner's process
 
 
 class ScaleOut(msgspec.Struct, frozen=True, tag="rent", rename={"shard_id": "block"}):
-    """Rent machines for a shard, under a request id that is never used for anything else."""
+    """The action of renting machines for a shard, under a request id that is used only once."""
 
     request: RentalRequest
     shard_id: str
 
 
 class Release(msgspec.Struct, frozen=True, tag="return", rename={"machine_ids": "hosts"}):
-    """Release machines to the cloud. Once this is durable nobody places tasks on them."""
+    """The action of releasing machines. Once it is durable, nobody places tasks on them."""
 
     machine_ids: list[str]
 
@@ -44,18 +47,22 @@
 
 
 class Intent(msgspec.Struct, frozen=True):
-    """`live/intent/<duty>/<token>-<number>`: an action, perhaps under way until deleted."""
+    """The record `live/intent/<duty>/<token>-<number>` of an intended action.
+
+    While the record exists, the action may be in progress.
+    """
 
-    duty: str  # text: the record of another version may name a duty that this one does not know
-    token: int
+    # Not a `Duty`: a controller of another version may record a duty that this one does not know.
+    duty: str
+    token: int  # the owner's fencing token when the intent was recorded
     action: Action
 
 
 def duty_key(duty: str) -> str:
-    """The key of the record of who owns a duty."""
+    """Return the key of the record that names a duty's owner."""
     return DUTY_PREFIX + duty
 
 
 def intent_key(duty: str, token: int, number: int) -> str:
-    """A key of its own for each action; `number` counts within one process."""
+    """Return the key of an intent; `number` is unique within the process that records it."""
     return f"{INTENT_PREFIX}{duty}/{token}-{number}"
--- a/fallpulley/duties/ownership.py
+++ b/fallpulley/duties/ownership.py
@@ -1,4 +1,4 @@
-"""Which duties this controller owns, and how it claims those that are free."""
+"""Ownership of duties: which ones this controller owns, and how it claims the others."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 from fallpulley.records.keys import LEADER_KEY
 from fallpulley.state.transactions import Change, RequestPriority, WriteResult
 
-# A duty that could not be claimed is tried again after so long.
+# Time from the result of a claim until the same duty may be claimed again, in seconds.
 CLAIM_RETRY_SECONDS = 0.5
 
 
 class DutyOwnership:
-    """Claims duties for this controller, as the leader, and says under which token it owns them."""
+    """Claims duties for this controller while it leads, and knows the tokens of owned duties."""
 
     def __init__(self, access: ControllerAccess, duty_registry: DutyRegistry) -> None:
         self._access = access
         self._duty_registry = duty_registry
-        self._next_claim_at: dict[Duty, float] = {}  # by the monotonic clock
+        # Earliest time of the next claim of each duty, in seconds of the monotonic clock.
+        self._next_claim_at: dict[Duty, float] = {}
 
     def token(self, duty: Duty) -> int | None:
-        """The fencing token under which this controller owns the duty now; None: it does not."""
+        """Return the fencing token under which this controller owns the duty now, or None."""
         owned = self._duty_registry.duties.get(duty)
         if (
             owned is None
@@ -34,17 +35,21 @@
         return owned.token
 
     def owns(self, duty: Duty) -> bool:
-        """This controller certainly owns the duty now."""
+        """Return whether this controller certainly owns the duty now."""
         return self.token(duty) is not None
 
-    def claim_free_duties(self) -> None:
-        """As the leader, claim every duty that this controller does not own."""
+    def claim_missing_duties(self) -> None:
+        """Claim every duty that this controller does not own. It must be the leader."""
         for duty in Duty:
             if not self.owns(duty):
                 self._claim(duty)
 
     def _claim(self, duty: Duty) -> None:
-        """Conditioned on the leadership and the session, which end with one lease."""
+        """Write this controller into the duty's record, unless a claim is pending or too recent.
+
+        The write is conditioned on the records of the leadership and of the session, which end with
+        the same lease.
+        """
         access = self._access
         now = access.context.now
         if now < self._next_claim_at.get(duty, float("-inf")):
--- a/fallpulley/duties/registry.py
+++ b/fallpulley/duties/registry.py
@@ -14,7 +14,7 @@
 
 
 class OwnedDuty(NamedTuple):
-    """Who owns a duty, and the token under which its actions go out."""
+    """The owner of a duty, and the fencing token under which it acts."""
 
     record: DutyRecord
     token: int
@@ -28,17 +28,18 @@
 
 
 class DutyRegistry:
-    """Who owns which duty, and which actions may be under way, the oldest first."""
+    """The owners of duties, and the intents whose actions may be in progress, oldest first."""
 
     def __init__(self) -> None:
-        self.duties: dict[str, OwnedDuty] = {}
-        self.intents: dict[str, RecordedIntent] = {}  # by key
-        self.release_intents: dict[str, str] = {}  # machine_id -> key of the intent to release it
+        self.duties: dict[str, OwnedDuty] = {}  # by duty, only those that have an owner
+        self.intents: dict[str, RecordedIntent] = {}  # by record key, oldest first
+        # machine_id -> record key of the intent to release the machine
+        self.release_intents: dict[str, str] = {}
 
     def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> list[str]:
-        """Apply a change of a record.
+        """Apply a change of a record; `value` is None if the record was deleted.
 
-        Returns the machines of which the release has just been recorded, or is so no more.
+        Returns the machines for which an intent to release them was recorded or removed.
         """
         if key.startswith(DUTY_PREFIX):
             self._on_duty_record(key[len(DUTY_PREFIX) :], value, mod_revision)
@@ -74,7 +75,10 @@
         return changed
 
     def _remove_intent(self, key: str) -> list[str]:
-        """The machines that no intent releases any more."""
+        """Remove an intent.
+
+        Returns the machines that no intent is to release any more.
+        """
         removed = self.intents.pop(key, None)
         if removed is None or not isinstance(removed.intent.action, Release):
             return []
@@ -86,19 +90,19 @@
         return changed
 
     def scale_outs(self) -> Iterator[tuple[str, ScaleOut]]:
-        """The recorded scale-outs by key, the oldest first."""
+        """Yield the recorded scale-outs with their record keys, oldest first."""
         for key, (intent, _) in self.intents.items():
             if isinstance(intent.action, ScaleOut):
                 yield key, intent.action
 
     def releases(self) -> Iterator[tuple[str, Release]]:
-        """The recorded releases by key, the oldest first."""
+        """Yield the recorded releases with their record keys, oldest first."""
         for key, (intent, _) in self.intents.items():
             if isinstance(intent.action, Release):
                 yield key, intent.action
 
     def has_unresolved_intent(self, duty: str, token: int) -> bool:
-        """An action of a previous owner of the duty may still be under way."""
+        """Return whether an action of a previous owner of the duty may still be in progress."""
         return any(
             intent.duty == duty and intent.token != token for intent, _ in self.intents.values()
         )
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -1,4 +1,4 @@
-"""The extension that has a controller act on machines under duties only."""
+"""The duties extension: a controller acts on machines only under a duty that it owns."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DutiesService(Extension):
-    """Duties of one controller: their records, ownership, intents and action guard."""
+    """Combines the records, ownership, intents and action guard of one controller's duties."""
 
     def __init__(self, access: ControllerAccess, provider: MachineProvider) -> None:
         self._access = access
@@ -28,11 +28,11 @@
         self.action_guard = self._guard
 
     def watches(self, key: str) -> bool:
-        """Whether the record is one of duties or intents."""
+        """Return whether the key is that of a duty's or an intent's record."""
         return key.startswith((DUTY_PREFIX, INTENT_PREFIX))
 
     def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        """Apply a change of a duty or an intent."""
+        """Apply a change of a duty's or an intent's record."""
         changed = self.duty_registry.on_key_changed(key, value, mod_revision)
         if value is None:
             self.intents.on_deleted(key)
@@ -40,23 +40,26 @@
             self._update_release_decision(machine_id)
 
     def on_shard_acquired(self, shard: Shard, previous: OwnerProcess | None) -> None:
-        """Some of the shard's machines may be about to be released."""
+        """Mark the machines of an acquired shard that are about to be released."""
         self.on_shard_updated(shard)
 
     def on_shard_updated(self, shard: Shard) -> None:
-        """Some of the shard's machines may be about to be released."""
+        """Mark the machines of an owned shard that are about to be released."""
         for machine_id in self.duty_registry.release_intents.keys() & shard.machines.keys():
             shard.machines[machine_id].scale_in.release_decided = True
 
     def on_leadership_checked(self) -> None:
-        """As the leader, claim free duties and go on with what predecessors have left open."""
-        self.intents.forget_visible()
+        """Claim missing duties and resume recorded rentals if this controller leads."""
+        self.intents.forget_visible_intents()
         if self._access.watch.ready and self._access.is_leader:
-            self.ownership.claim_free_duties()
+            self.ownership.claim_missing_duties()
             self._guard.resume_scale_outs()
 
     def _update_release_decision(self, machine_id: str) -> None:
-        """Nothing is placed on a machine that may be released at any moment."""
+        """Update whether a machine of an owned shard is to be released, and plan its shard anew.
+
+        No tasks are placed on a machine that may be released at any moment.
+        """
         shard_id = self._access.registry.shard_of_machine.get(machine_id, "")
         shard = self._access.owned.shards.get(shard_id)
         machine = shard.machines.get(machine_id) if shard is not None else None
