--- a/fallpulley/shares/__init__.py
+++ b/fallpulley/shares/__init__.py
@@ -1,4 +1,6 @@
-"""Shares of the fleet for each controller's shard, moved while jobs run (docs/shares.md).
+"""Optional extension: each controller's shard gets a share of the fleet that operators set.
 
-Nothing here is imported unless `[shares] enabled = true` stands in fallpulley.toml.
+Shares can be changed while jobs run; machines then move between shards (docs/shares.md). A
+controller imports these modules only if fallpulley.toml sets `[shares] enabled = true`; the
+command `fallpulley shares` imports those that it needs.
 """
--- a/fallpulley/shares/command.py
+++ b/fallpulley/shares/command.py
@@ -1,4 +1,7 @@
-"""`fallpulley shares show` and `fallpulley shares set`: requests to controllers' mesh addresses."""
+"""The commands `fallpulley shares show` and `fallpulley shares set`.
+
+They send requests to the mesh addresses of controllers.
+"""
 
 from __future__ import annotations
 
@@ -17,20 +20,24 @@
 from fallpulley.shares.messages import ErrorResponse, SetShares, Share, SharesResponse
 from fallpulley.wire.client import Client
 
-REQUEST_TIMEOUT_SECONDS = 5.0
-POLL_INTERVAL_SECONDS = 0.5
-MAX_SOCKETS = 4
+REQUEST_TIMEOUT_SECONDS = 5.0  # for the request to each controller
+POLL_INTERVAL_SECONDS = 0.5  # between requests of `shares set --wait`
+MAX_SOCKETS = 4  # open at the same time
 
 
-# -- what was typed ------------------------------------------------------------------------------
+# -- command-line arguments ----------------------------------------------------------------------
 
 
 class UsageError(Exception):
-    """What was typed can't be understood; the message says what was expected."""
+    """Raised for invalid command-line arguments; the message says what was expected."""
 
 
 def parse_share(text: str) -> tuple[str, Share]:
-    """The controller and its share from `LABEL=WEIGHT[:FLOOR[:CEILING]]`; raises `UsageError`."""
+    """Parse `LABEL=WEIGHT[:FLOOR[:CEILING]]` into a controller id and its share.
+
+    Raises:
+        UsageError: The text has another form.
+    """
     controller_id, equals, numbers = text.partition("=")
     parts = numbers.split(":")
     if not controller_id or not equals or not 1 <= len(parts) <= 3:
@@ -38,16 +45,24 @@
     try:
         values = [float(part) for part in parts]
     except ValueError:
-        raise UsageError(f"{text!r}: weight, floor and ceiling are numbers") from None
+        raise UsageError(f"{text!r}: weight, floor and ceiling must be numbers") from None
     weight, floor, ceiling = [*values, 0.0, 0.0][:3]
     return controller_id, Share(weight, floor, ceiling)
 
 
 def parse_table(shares: list[str], teams: list[str]) -> dict[str, Share]:
-    """The whole table from the texts of all shares and `TEAM=LABEL`; raises `UsageError`."""
+    """Parse the whole table of shares.
+
+    Args:
+        shares: Texts of the form `LABEL=WEIGHT[:FLOOR[:CEILING]]`.
+        teams: Texts of the form `TEAM=LABEL`.
+
+    Raises:
+        UsageError: A text is invalid, or a controller has two shares.
+    """
     table = dict(parse_share(text) for text in shares)
     if len(table) < len(shares):
-        raise UsageError("a controller stands twice")
+        raise UsageError("a controller has more than one share")
     for text in teams:
         team, equals, controller_id = text.partition("=")
         if not team or not equals or controller_id not in table:
@@ -58,7 +73,12 @@
 
 
 def _parse_request(options: argparse.Namespace) -> SetShares | None:
-    """The request of `shares set`; None for `shares show`. Raises `UsageError`, `ValueError`."""
+    """Build the request for `shares set`; None for `shares show`.
+
+    Raises:
+        UsageError: A share or a team is invalid.
+        ValueError: The address of a controller is invalid.
+    """
     for address in options.controller:
         split_address(address)
     if options.shares_command != "set":
@@ -72,29 +92,29 @@
 
 
 class ControllerResponse(NamedTuple):
-    """What a controller responded."""
+    """The HTTP status and the body of a controller's response."""
 
     status: int
     body: bytes
 
 
 class SharesClient:
-    """Sends each request to one controller after the other until one responds."""
+    """Sends each request to the controllers in turn until one of them can handle it."""
 
     def __init__(self, client: Client, addresses: list[str]) -> None:
         self._client = client
         self._addresses = addresses
 
     async def get(self) -> ControllerResponse | None:
-        """The present shares; None: no controller responds."""
+        """Request the present shares; None if no controller responds."""
         return await self._request("GET", None)
 
     async def set(self, request: SetShares) -> ControllerResponse | None:
-        """Replace the table of shares; None: no controller responds."""
+        """Replace the table of shares; None if no controller responds."""
         return await self._request("POST", msgspec.json.encode(request))
 
     async def _request(self, method: str, body: bytes | None) -> ControllerResponse | None:
-        """The first response that is not `unavailable`, else the last one; None: there is none."""
+        """Return the first response other than `unavailable`, else the last; None without any."""
         last: ControllerResponse | None = None
         for address in self._addresses:
             response = await self._call(address, method, body)
@@ -120,7 +140,7 @@
         return response
 
 
-# -- what is printed -----------------------------------------------------------------------------
+# -- output --------------------------------------------------------------------------------------
 
 
 def _print_error(text: str) -> None:
@@ -128,20 +148,22 @@
 
 
 def _print_failure(response: ControllerResponse | None) -> ExitCode:
-    """Say why there are no shares to print, and how to go on."""
+    """Print why the request failed and what to do, and return the exit code."""
     if response is None:
-        _print_error("no controller answers: check the addresses given with --controller")
+        _print_error("no controller responded: check the addresses given with --controller")
         return ExitCode.UNREACHABLE
     if response.status == HTTPStatus.NOT_FOUND:
-        _print_error("shares are off: set `[shares] enabled = true` and restart the controllers")
+        _print_error(
+            "shares are disabled: set `[shares] enabled = true` and restart the controllers"
+        )
         return ExitCode.FAILED
     try:
         error = msgspec.json.decode(response.body, type=ErrorResponse)
     except msgspec.MsgspecError:
-        _print_error(f"the controller answered {response.status}")
+        _print_error(f"controller responded with HTTP status {response.status}")
         return ExitCode.FAILED
     if response.status == HTTPStatus.CONFLICT:
-        advice = f"look again and repeat with --expect {error.revision}"
+        advice = f"check the present shares, then repeat with --expect {error.revision}"
         _print_error(f"conflict: {error.reason}; {advice}")
         return ExitCode.CONFLICT
     if response.status in (HTTPStatus.BAD_REQUEST, HTTPStatus.UNPROCESSABLE_ENTITY):
@@ -152,12 +174,12 @@
 
 
 def print_shares(response: SharesResponse, as_json: bool) -> None:
-    """The shares and the shards, as tables or as JSON."""
+    """Print the shares and the shards, as tables or as JSON."""
     if as_json:
         print(msgspec.json.encode(response).decode())
         return
     age = f"{response.age_s:.1f} s"
-    print(f"revision {response.revision} by {response.controller_id}, records of {age} ago")
+    print(f"revision {response.revision} reported by {response.controller_id}, records {age} old")
     _print_table_of_shares(response)
     _print_table_of_shards(response)
 
@@ -181,7 +203,7 @@
         )
 
 
-# -- the command ---------------------------------------------------------------------------------
+# -- command -------------------------------------------------------------------------------------
 
 
 async def _run(options: argparse.Namespace, request: SetShares | None) -> ExitCode:
@@ -198,7 +220,7 @@
         timed_out = wait_s > 0 and not shares.converged
         if timed_out:
             states = ", ".join(f"{shard.shard_id}: {shard.state}" for shard in shares.shards)
-            _print_error(f"not there after {wait_s:g} s ({states})")
+            _print_error(f"shares not reached after {wait_s:g} s ({states})")
         print_shares(shares, options.json)
         tasks.cancel_scope.cancel()
     return ExitCode.FAILED if timed_out else ExitCode.OK
@@ -207,9 +229,12 @@
 async def _wait_until_converged(
     client: SharesClient, shares: SharesResponse, wait_s: float
 ) -> SharesResponse:
-    """Poll until the shards match their shares, for `wait_s` seconds; the last response."""
-    until = time.monotonic() + wait_s
-    while not shares.converged and time.monotonic() < until:
+    """Poll for up to `wait_s` seconds until the shards match their shares.
+
+    Returns the last successful response.
+    """
+    deadline = time.monotonic() + wait_s
+    while not shares.converged and time.monotonic() < deadline:
         await anyio.sleep(POLL_INTERVAL_SECONDS)
         response = await client.get()
         if response is not None and response.status == HTTPStatus.OK:
@@ -218,7 +243,7 @@
 
 
 def run(options: argparse.Namespace) -> ExitCode:
-    """Carry out the command."""
+    """Run `shares show` or `shares set`, and return the exit code."""
     try:
         request = _parse_request(options)
     except (UsageError, ValueError) as error:
--- a/fallpulley/shares/policy_runner.py
+++ b/fallpulley/shares/policy_runner.py
@@ -1,4 +1,4 @@
-"""Has the leader set the weights that the operators' expression gives."""
+"""Applies the operators' share policy on the leader."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PolicyRunner:
-    """Evaluates the policy on what this controller knows, and writes the shares it wants."""
+    """Evaluates the policy with this controller's data, and writes the shares that it asks for."""
 
     def __init__(self, access: ControllerAccess, record: ShareRecord, jobs: JobService) -> None:
         self._access = access
@@ -30,20 +30,20 @@
         self._policy = Policy(access.context.settings.operators.shares)
 
     def run(self) -> None:
-        """Set the shares that the policy wants now, if they differ enough from the present ones."""
+        """Evaluate the policy if it is due, and write the shares if they change enough."""
         context = self._access.context
         table = self._record.table
-        wanted = self._policy.wanted_shares(context.now, table, self._policy_input)
-        if wanted is None:
+        new_shares = self._policy.wanted_shares(context.now, table, self._policy_input)
+        if new_shares is None:
             return
         operation = f"policy-{context.incarnation}-{table.revision}"
-        request = SetShares(wanted, operation[-MAX_OPERATION_NAME_LENGTH:], table.revision)
+        request = SetShares(new_shares, operation[-MAX_OPERATION_NAME_LENGTH:], table.revision)
         try:
             new_table = apply_request(table, request, self._record.deployment())
         except (RefusedError, ConflictError) as error:
-            log.info("share policy refused reason=%s", error)
+            log.info("share policy result refused reason=%s", error)
             return
-        weights = {controller_id: share.weight for controller_id, share in wanted.items()}
+        weights = {controller_id: share.weight for controller_id, share in new_shares.items()}
         log.info("share policy applied weights=%s", weights)
         value = msgspec.json.encode(new_table)
         self._record.write(value, ignore_result, RequestPriority.PROGRESS)
--- a/fallpulley/shares/record.py
+++ b/fallpulley/shares/record.py
@@ -1,4 +1,4 @@
-"""The record of shares as last seen, and the one way in which it is changed."""
+"""Keeps the newest known record of shares, and writes new ones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ShareRecord:
-    """Keeps the newest table; writes a new one by compare-and-set."""
+    """Holds the newest known table of shares, and replaces the record by compare-and-set."""
 
     def __init__(self, access: ControllerAccess, jobs: JobService) -> None:
         self._access = access
@@ -25,8 +25,8 @@
         self.table = ShareTable()
         self.controller_ids = sorted(access.context.settings.controller_ids)
 
-    def on_value(self, value: bytes | None) -> None:
-        """The record has changed; None: it was deleted."""
+    def on_record_changed(self, value: bytes | None) -> None:
+        """Update the table after a change of the record; `value` is None if it was deleted."""
         if value is None:
             self.table = ShareTable()
             return
@@ -38,12 +38,12 @@
         log.info("shares updated revision=%d count=%d", self.table.revision, len(self.table.shares))
 
     def deployment(self) -> Deployment:
-        """What a new table has to fit."""
+        """Return the facts that a new table is validated against."""
         registry = self._access.registry
         processors = sum(registry.processors(shard_id) for shard_id in registry.shards)
         return Deployment(self.controller_ids, self._jobs.teams, registry.team_shards, processors)
 
     def write(self, value: bytes, on_result: WriteCallback, priority: RequestPriority) -> None:
-        """Replace the record by an encoded table, unless it has changed since it was last seen."""
+        """Replace the record with an encoded table, unless it changed since it was last seen."""
         conditions = {SHARES_KEY: self._access.watch.mod_revision(SHARES_KEY)}
         self._access.compare_and_set(conditions, Change(SHARES_KEY, value), on_result, priority)
--- a/fallpulley/shares/requests.py
+++ b/fallpulley/shares/requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests: `GET /shares` and `POST /shares` on the mesh address."""
+"""Handles operators' requests `GET /shares` and `POST /shares`, received on the mesh address."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 )
 from fallpulley.state.transactions import RequestPriority, WriteResult
 
+# Time until clients should repeat a request, if the state service is unavailable.
 RETRY_AFTER_SECONDS = 1.0
 
 
 class ShareRequests:
-    """Responds to each request once the watch cache is known to be current, or known not to be."""
+    """Responds to each request after checking whether the watch cache is current."""
 
     def __init__(
         self,
@@ -36,7 +37,7 @@
         self._current_shares = current_shares
 
     def handle(self, request: OperatorRequest) -> None:
-        """Respond now or in a later step."""
+        """Respond to a request, in this step or in a later one."""
         if request.method == "GET":
             self._when_current(lambda current: self._respond_with_shares(request))
         elif request.method == "POST":
@@ -47,29 +48,29 @@
             )
 
     def _when_current(self, on_checked: Callable[[bool], None]) -> None:
-        """Call back with whether the watch cache is as new as this request."""
+        """Call `on_checked` with whether the watch cache is at least as new as this call."""
         self._access.watch.when_current(on_checked, self._access.context.now)
 
     # -- setting shares --------------------------------------------------------------------
 
     def _handle_set(self, request: OperatorRequest) -> None:
         try:
-            wanted = msgspec.json.decode(request.body, type=SetShares)
+            set_shares = msgspec.json.decode(request.body, type=SetShares)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             self._respond_error(request, HTTPStatus.BAD_REQUEST, "malformed", str(error))
             return
 
         def on_checked(current: bool) -> None:
             if current:
-                self._apply(request, wanted)
+                self._apply(request, set_shares)
             else:
                 self._respond_unavailable(request)
 
         self._when_current(on_checked)
 
-    def _apply(self, request: OperatorRequest, wanted: SetShares) -> None:
+    def _apply(self, request: OperatorRequest, set_shares: SetShares) -> None:
         try:
-            table = apply_request(self._record.table, wanted, self._record.deployment())
+            table = apply_request(self._record.table, set_shares, self._record.deployment())
         except ConflictError as error:
             self._respond_conflict(request, str(error), error.revision)
             return
@@ -77,12 +78,12 @@
             self._respond_refused(request, str(error))
             return
         if table is self._record.table:
-            # Carried out before, and its response was lost.
+            # The request was already carried out; the client repeats it since it got no response.
             self._respond_with_shares(request)
             return
-        self._write(request, wanted, table)
+        self._write(request, set_shares, table)
 
-    def _write(self, request: OperatorRequest, wanted: SetShares, table: ShareTable) -> None:
+    def _write(self, request: OperatorRequest, set_shares: SetShares, table: ShareTable) -> None:
         value = msgspec.json.encode(table)
         if len(value) > self._access.context.record_format.value_bytes:
             self._respond_refused(request, "too long for a record")
@@ -92,18 +93,19 @@
             if result.refused:
                 self._respond_unavailable(request)
             else:
-                # Whatever the response was, the record says whose change came first.
+                # Even if the result of the write is unknown or a conflict, the record shows whether
+                # this change was made.
                 self._when_current(
-                    lambda current: self._respond_with_outcome(request, wanted, current)
+                    lambda current: self._respond_with_outcome(request, set_shares, current)
                 )
 
         self._record.write(value, on_result, RequestPriority.ACCEPT)
 
     def _respond_with_outcome(
-        self, request: OperatorRequest, wanted: SetShares, current: bool
+        self, request: OperatorRequest, set_shares: SetShares, current: bool
     ) -> None:
         table = self._record.table
-        if revision_of_operation(table, wanted.operation) is not None:
+        if revision_of_operation(table, set_shares.operation) is not None:
             self._respond_with_shares(request)
         elif current:
             reason = f"the shares have revision {table.revision}"
@@ -114,7 +116,7 @@
     # -- responses -------------------------------------------------------------------------
 
     def _respond_with_shares(self, request: OperatorRequest) -> None:
-        """Also where the watch cache may be stale: the response has its age."""
+        """Respond with the shares even if the watch cache may be stale: its age is in the body."""
         body = msgspec.json.encode(self._current_shares())
         self._access.context.respond(request.pending_response, HTTPStatus.OK.value, body)
 
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -1,4 +1,4 @@
-"""The extension that gives each controller's shard its share of the fleet."""
+"""The extension that keeps each controller's shard at its share of the fleet."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from fallpulley.shares.requests import ShareRequests
 from fallpulley.shares.status import ShareStatus
 
-# Shards are compared with their shares each time this part of a heartbeat interval has passed.
-RECONCILE_INTERVALS = 0.25
+# Time between two comparisons of the shards with their shares, in heartbeat intervals.
+RECONCILE_HEARTBEAT_INTERVALS = 0.25
 
 
 class SharesService(Extension):
-    """Shares of one controller: their record, operators' requests, and what follows from them."""
+    """Handles the shares' record and operators' requests, and reconciles owned shards."""
 
     operator_path = "/shares"
     balances_shards = True
@@ -32,31 +32,31 @@
         self._policy_runner = PolicyRunner(access, self._record, jobs)
         status = ShareStatus(access, self._record, self._reconciler, self._targets)
         self._requests = ShareRequests(access, self._record, status.response)
-        self._next_reconcile_at = float("-inf")  # by the monotonic clock
+        self._next_reconcile_at = float("-inf")  # time on the monotonic clock
 
     def watches(self, key: str) -> bool:
-        """Whether it is the record of shares."""
+        """Return whether the key is that of the record of shares."""
         return key == SHARES_KEY
 
     def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        """The record of shares has changed."""
-        self._record.on_value(value)
+        """Read the changed record of shares."""
+        self._record.on_record_changed(value)
 
     def on_operator_request(self, request: OperatorRequest) -> None:
-        """`GET /shares` or `POST /shares` on the mesh address."""
+        """Handle `GET /shares` or `POST /shares`."""
         self._requests.handle(request)
 
     # -- decisions -------------------------------------------------------------------------
 
     def shard_of_team(self, team: str) -> str | None:
-        """The shard for a team's new jobs; None where no share names the team."""
+        """Return the shard for a team's new jobs; None if no share with a shard names the team."""
         for controller_id, share in self._record.table.shares.items():
             if team in share.teams and controller_id in self._access.registry.shards:
                 return controller_id
         return None
 
     def shards_to_open(self) -> list[str]:
-        """Controllers that have a share and a session, and no shard yet."""
+        """Return the controllers that have a share and a session but no shard yet."""
         registry = self._access.registry
         return [
             controller_id
@@ -67,12 +67,12 @@
         ]
 
     def shard_for_rental(self, asked_for: str) -> str:
-        """New machines go to the shard furthest below its share."""
+        """Return the shard furthest below its target: it gets the new machines."""
         if not self._record.table.shares:
             return asked_for
         targets = self._targets()
         deficits = {
-            shard_id: targets.wanted[shard_id] - targets.actual[shard_id]
+            shard_id: targets.target[shard_id] - targets.actual[shard_id]
             for shard_id in targets.actual
         }
         return max(
@@ -88,12 +88,12 @@
     # -- time ------------------------------------------------------------------------------
 
     def on_shards_checked(self) -> None:
-        """Bring owned shards towards their shares; as the leader, run the policy."""
+        """Reconcile owned shards with their shares; on the leader, also run the policy."""
         context = self._access.context
         if context.now < self._next_reconcile_at or not self._is_ready():
             return
         self._next_reconcile_at = (
-            context.now + RECONCILE_INTERVALS * context.timing.heartbeat_interval_s
+            context.now + RECONCILE_HEARTBEAT_INTERVALS * context.timing.heartbeat_interval_s
         )
         targets = self._targets()
         for shard in self._access.owned.shards.values():
@@ -103,7 +103,7 @@
             self._policy_runner.run()
 
     def _is_ready(self) -> bool:
-        """There are shares, and the records needed to compute targets have been read."""
+        """Return whether shares are set and the records needed for targets have been read."""
         return (
             bool(self._record.table.shares)
             and self._access.watch.ready
--- a/fallpulley/shares/status.py
+++ b/fallpulley/shares/status.py
@@ -1,4 +1,4 @@
-"""How far each shard is from its share, as shown to operators."""
+"""Reports to operators how far each shard is from its share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ShareStatus:
-    """Compares the shards with their shares, as this controller knows them."""
+    """Compares the shards with their shares, as known to this controller."""
 
     def __init__(
         self,
@@ -27,13 +27,13 @@
         self._current_targets = current_targets
 
     def response(self) -> SharesResponse:
-        """The shares, and the state of every shard that there is or should be."""
+        """Return the shares and the state of every shard that exists or that has a share."""
         table = self._record.table
         registry = self._access.registry
         targets = self._current_targets()
-        unmet = self._shards_with_moves(targets) if table.shares else set()
+        shards_with_moves = self._shards_with_moves(targets) if table.shares else set()
         shards = [
-            self._shard_state(shard_id, targets, shard_id in unmet)
+            self._shard_state(shard_id, targets, shard_id in shards_with_moves)
             for shard_id in sorted(registry.shards)
         ]
         shards += [
@@ -54,7 +54,7 @@
         moves = self._reconciler.feasible_moves(targets)
         return {shard_id for move in moves for shard_id in (move.source, move.destination)}
 
-    def _shard_state(self, shard_id: str, targets: Targets, unmet: bool) -> ShardState:
+    def _shard_state(self, shard_id: str, targets: Targets, has_moves: bool) -> ShardState:
         record, _ = self._access.registry.shards[shard_id]
         shard = self._access.owned.shards.get(shard_id)
         draining = None
@@ -64,15 +64,15 @@
         return ShardState(
             shard_id,
             record.owner,
-            round(targets.wanted[shard_id], 1) if has_shares else None,
+            round(targets.target[shard_id], 1) if has_shares else None,
             targets.actual[shard_id],
             len(record.machines),
-            self._progress(shard_id, shard, draining) if unmet else ShardProgress.CONVERGED,
+            self._progress(shard_id, shard, draining) if has_moves else ShardProgress.CONVERGED,
             draining,
         )
 
     def _progress(self, shard_id: str, shard: Shard | None, draining: int | None) -> ShardProgress:
-        """Why the shard is not at its share yet."""
+        """Return the reason why the shard has not reached its share yet."""
         record, _ = self._access.registry.shards[shard_id]
         if not self._access.registry.owner_alive(record):
             return ShardProgress.CONTROLLER_ABSENT
--- a/fallpulley/shares/table.py
+++ b/fallpulley/shares/table.py
@@ -1,4 +1,4 @@
-"""Which tables of shares are possible, and what a request makes of one. Pure functions."""
+"""Validates tables of shares and applies operators' requests to them, by pure functions."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """What a table of shares has to fit."""
+    """The facts about a deployment that a table of shares is validated against."""
 
     controller_ids: Collection[str]
     teams: Mapping[str, Team]  # by name
-    team_shards: Mapping[str, str]  # limited team -> the shard that its jobs are in
-    processors: float  # of the whole fleet; 0: not known yet
+    team_shards: Mapping[str, str]  # for each team with a limit, the shard that holds its jobs
+    processors: float  # number of processors in the whole fleet; 0: not known yet
 
 
 class RefusedError(Exception):
-    """The shares are impossible; the message says why."""
+    """Raised for shares that this deployment cannot have; the message is sent to the operator."""
 
 
 class ConflictError(Exception):
-    """The request was decided on another revision of the table than there is."""
+    """Raised if a request expects another revision of the table than the present one."""
 
     def __init__(self, revision: int) -> None:
         super().__init__(f"the shares have revision {revision}")
@@ -39,7 +39,11 @@
 
 
 def validate_shares(shares: Mapping[str, Share], deployment: Deployment) -> None:
-    """Raise `RefusedError` when the deployment cannot be shared so."""
+    """Check that the deployment can have these shares.
+
+    Raises:
+        RefusedError: It cannot.
+    """
     if not shares:
         raise RefusedError("no shares")
     shard_of_team: dict[str, str] = {}
@@ -83,9 +87,13 @@
 
 
 def apply_request(table: ShareTable, request: SetShares, deployment: Deployment) -> ShareTable:
-    """The table after a request. One that was carried out before gives back the present table.
+    """Return the table that a request produces.
+
+    If the request was already carried out, this is `table` itself.
 
-    Raises `RefusedError` and `ConflictError`.
+    Raises:
+        ConflictError: The request expects another revision.
+        RefusedError: The deployment cannot have the requested shares.
     """
     if revision_of_operation(table, request.operation) is not None:
         return table
@@ -98,5 +106,7 @@
 
 
 def revision_of_operation(table: ShareTable, name: str) -> int | None:
-    """The revision that an operation of this name made; None: it is not remembered."""
-    return next((each.revision for each in table.operations if each.name == name), None)
+    """Return the revision that the named operation produced; None if it is not remembered."""
+    return next(
+        (operation.revision for operation in table.operations if operation.name == name), None
+    )
--- a/fallpulley/shares/targets.py
+++ b/fallpulley/shares/targets.py
@@ -1,4 +1,4 @@
-"""How many processors each shard is to have, and which of them it gives to whom. Pure functions."""
+"""Computes the target size of each shard and the moves that lead there, by pure functions."""
 
 from __future__ import annotations
 
@@ -9,36 +9,47 @@
 
 from fallpulley.shares.messages import Share
 
-# The common level of the weights is bisected so often: beyond what a float can tell apart.
+# Number of steps in the bisection of the level, enough to reach the precision of a float.
 BISECTION_STEPS = 60
-# Processors below which a rest or a move is an error of rounding.
-MIN_REST_PROCESSORS = 1e-6
+# Numbers of processors up to which a remainder or a move is taken for a rounding error.
+MIN_REMAINDER_PROCESSORS = 1e-6
 MIN_MOVE_PROCESSORS = 1e-9
 
 
 def target_processors(shares: Mapping[str, Share], fleet: float) -> dict[str, float]:
-    """Processors for each share: by weight, within floors and ceilings, adding up to the fleet.
+    """Divide the processors of the fleet by weight, within floors and ceilings.
 
-    Floors that the fleet no longer holds shrink alike; what is left above all ceilings goes by
-    weight, since machines have to be in some shard.
+    The targets add up to `fleet`. If the floors exceed the fleet, all are scaled down by the same
+    factor. Processors beyond the sum of all ceilings are divided by weight nevertheless, since
+    every machine has to be in some shard.
+
+    Args:
+        shares: The shares by controller id.
+        fleet: Number of processors in the whole fleet.
+
+    Returns:
+        The target sizes in processors by controller id; all 0 if the weights or the fleet are 0.
     """
     total_weight = sum(share.weight for share in shares.values())
     if total_weight <= 0 or fleet <= 0:
         return dict.fromkeys(shares, 0.0)
     targets = _bisect_level(shares, fleet)
-    rest = fleet - sum(targets.values())
-    if rest > MIN_REST_PROCESSORS:
+    remainder = fleet - sum(targets.values())
+    if remainder > MIN_REMAINDER_PROCESSORS:
         for controller_id, share in shares.items():
-            targets[controller_id] += rest * share.weight / total_weight
+            targets[controller_id] += remainder * share.weight / total_weight
     return targets
 
 
 def _bisect_level(shares: Mapping[str, Share], fleet: float) -> dict[str, float]:
-    """Targets at the level (processors for each unit of weight) at which they fill the fleet."""
+    """Find the level, in processors per unit of weight, at which the targets add up to the fleet.
+
+    Returns the targets at that level, by controller id. They add up to less if the ceilings do.
+    """
     floors = sum(share.floor for share in shares.values())
-    shrink = min(1.0, fleet / floors) if floors > 0 else 1.0
+    floor_factor = min(1.0, fleet / floors) if floors > 0 else 1.0
     bounds = {
-        controller_id: (share.floor * shrink, share.ceiling or math.inf)
+        controller_id: (share.floor * floor_factor, share.ceiling or math.inf)
         for controller_id, share in shares.items()
     }
 
@@ -62,25 +73,34 @@
 
 
 class Move(msgspec.Struct, frozen=True):
-    """Processors that one shard is to give to another."""
+    """A number of processors that is to move from one shard to another."""
 
     source: str
     destination: str
     processors: float
-    surplus: float  # what the source has above its target
-    deficit: float  # what the destination lacks, as far as this source may fill it
+    surplus: float  # number of processors that the source has above its target
+    # Number of processors that the destination lacks and that this source may provide.
+    deficit: float
 
     def improves(self, cpus: float) -> bool:
-        """Whether a machine of that size brings the two nearer to their targets, taken together:
-        each move does, so shards do not pass machines back and forth."""
+        """Return whether moving a machine of `cpus` processors reduces the distance to the targets.
+
+        This is the sum of both shards' distances. Since each move reduces it, shards do not pass
+        machines back and forth.
+        """
         return cpus < self.surplus + self.deficit
 
 
 def plan_moves(actual: Mapping[str, float], targets: Mapping[str, float]) -> list[Move]:
-    """Which shard gives how much to which: the same for every controller with the same records.
+    """Pair shards above their targets with shards below.
+
+    The result is the same on every controller that has the same records. If several sources
+    provide for one destination, only the first gets the destination's whole deficit in its move,
+    and so may give a machine larger than its own amount; the others must not fill the same gap.
 
-    Where several sources fill one destination, the first may give a machine too large for its
-    part alone.
+    Args:
+        actual: The present size of each shard, in processors.
+        targets: The target size of each shard, in processors; 0 for shards that are missing.
     """
     surplus = {name: actual[name] - targets.get(name, 0.0) for name in actual}
     sources = sorted((n for n in surplus if surplus[n] > 0), key=lambda n: (-surplus[n], n))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -543,11 +543,11 @@
     ("expression", "why"),
     [
         ("{'node-0': ", ""),
-        ("1.0", "no map"),
+        ("1.0", "not a map"),
         ("{'node-9': 1.0}", "no controller: node-9"),
         ("{'node-0': -1.0}", "weight of node-0 is -1"),
         ("{'node-0': 0.0}", "no weight above 0"),
-        ("{'node-0': true}", "no number"),
+        ("{'node-0': true}", "not a number"),
         ("{'node-0': load['elsewhere']}", ""),
         ("{'node-0': 1.0 / 0.0 + nothing}", ""),
         ("{'a': 1.0}" + " " * 3000, "longer than"),
