--- a/fallpulley/cloud/messages.py
+++ b/fallpulley/cloud/messages.py
@@ -1,4 +1,4 @@
-"""The cloud's requests and responses. Their names on the wire end here."""
+"""Requests to the cloud and its responses, with their field names on the wire."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 from fallpulley.cloud.offer import Offer
 from fallpulley.resources import Resources
 
-# What the cloud's protocol allows: machines in a page of its list, in a release and in a rental.
+# Limits of the cloud's API: machines on a page of the list, in a release request and in a rental
+# request.
 LIST_PAGE_SIZE = 500
 MAX_RELEASED_MACHINES = 100
 MAX_RENTED_MACHINES = 50
 
-# A `ListedMachine.state`: the machine has stopped for good. All others are of no matter here.
+# The `ListedMachine.state` of a machine that has stopped for good. No other state is used.
 FAILED_STATE = "failed"
 
-# The boot time of a machine whose type the catalog does not have.
+# Assumed boot time of a machine whose type is not in the catalog.
 DEFAULT_BOOT_SECONDS = 60.0
 
 
@@ -30,27 +31,30 @@
         "zones": "halls",
     },
 ):
-    """What machines of one type have and cost."""
+    """The resources and the price of machines of one type."""
 
     name: str
-    cpus: float
+    cpus: float  # processors
     gpus: float
     memory_gb: float
     price_per_hour: float
-    spot_price: float  # for an hour
-    boot_s: float  # from the rental until the machine is up, usually
-    zones: list[str]  # where the type is offered
-    cache_gb: float = 0.0  # for images
-    fetch_gb_per_s: float = 1.0  # at which images are fetched
+    spot_price: float  # price per hour of a spot machine
+    boot_s: float  # usual time from the rental until the machine is up
+    zones: list[str]  # zones in which the type is offered
+    cache_gb: float = 0.0  # size of the image cache
+    fetch_gb_per_s: float = 1.0  # rate at which images are fetched
 
     @property
     def capacity(self) -> Resources:
-        """What tasks on a machine of this type may use in all."""
+        """The resources that all tasks on a machine of this type may use together."""
         return Resources(self.cpus, self.gpus, self.memory_gb)
 
 
 class Catalog(msgspec.Struct, rename={"machine_types": "builds"}):
-    """`GET /catalog`, and `live/catalog`: every controller needs the types."""
+    """The machine types that the cloud offers.
+
+    The response to `GET /catalog`. It is stored as `live/catalog`, since every controller needs it.
+    """
 
     machine_types: list[MachineType]
 
@@ -65,28 +69,28 @@
         "count": "number",
     },
 ):
-    """`POST /rentals`. Repeated with the same id it gets the same response."""
+    """The body of `POST /rentals`. Repeated with the same id, it gets the same response."""
 
     request_id: str
     machine_type: str
     zone: str
-    spot: bool
-    count: int
+    spot: bool  # whether they are spot machines, which the cloud may preempt
+    count: int  # of machines
 
     @property
     def offer(self) -> Offer:
-        """What is asked for, without the number of machines."""
+        """The requested offer, without the number of machines."""
         return Offer(self.machine_type, self.zone, self.spot)
 
 
 class RentalResponse(msgspec.Struct, rename={"machine_ids": "hosts"}):
-    """The machines rented: as many as were asked for, or fewer."""
+    """The rented machines: at most as many as were requested."""
 
     machine_ids: list[str] = []
 
 
 class ReleaseRequest(msgspec.Struct, rename={"machine_ids": "hosts"}):
-    """`POST /rentals/release`. It may name machines that were released before."""
+    """The body of `POST /rentals/release`. It may name machines that were released before."""
 
     machine_ids: list[str]
 
@@ -103,19 +107,19 @@
         "age_s": "held_s",
     },
 ):
-    """A rented machine as the cloud lists it, some seconds late."""
+    """A rented machine in the cloud's list, which lags some seconds behind."""
 
     machine_id: str
     machine_type: str
     zone: str
     spot: bool
     state: str
-    address: str = ""  # empty: not known yet
-    age_s: float = 0.0  # since it was rented
+    address: str = ""  # host:port; empty: not known yet
+    age_s: float = 0.0  # time since the machine was rented
 
 
 class MachineList(msgspec.Struct, rename={"machines": "hosts"}):
-    """`GET /rentals`: one page; the next begins after its last machine."""
+    """One page of the response to `GET /rentals`; the next page starts after its last machine."""
 
     machines: list[ListedMachine]
     has_next: bool = False  # there are more pages
--- a/fallpulley/cloud/offer.py
+++ b/fallpulley/cloud/offer.py
@@ -1,4 +1,4 @@
-"""What the cloud rents machines by."""
+"""Offers, the units in which the cloud rents machines out."""
 
 from __future__ import annotations
 
@@ -6,9 +6,11 @@
 
 
 class Offer(NamedTuple):
-    """Machines of one type in one zone, at the spot price or the usual one. Each offer is available
-    or refused by itself."""
+    """Machines of one type in one zone, either spot or ordinary machines.
+
+    The cloud accepts or refuses rentals for each offer independently.
+    """
 
     machine_type: str
     zone: str
-    spot: bool
+    spot: bool  # whether they are spot machines, which the cloud may preempt
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -1,7 +1,7 @@
-"""Requests to the state service, within this controller's share of its budgets.
+"""Requests to the state service, within this controller's share of the service's rate limits.
 
-Priority: lease renewals, accepts and cancellations, progress, reads. Queued writes are grouped
-into transactions.
+The most urgent requests are sent first: lease renewals, then accepted and cancelled jobs, then
+progress, then reads. Queued writes are grouped into transactions.
 """
 
 from __future__ import annotations
@@ -25,36 +25,41 @@
 
 log = logging.getLogger(__name__)
 
-# Most urgent first; going over the enum itself in every step takes longer.
+# All priorities, most urgent first. A tuple, because iterating over the enum takes longer and
+# this is done in every step.
 _PRIORITIES = tuple(RequestPriority)
 
-# The service counts over all controllers; clocks and delays make shares overlap a little.
+# Share of this controller's rates that is used. The service counts the requests of all controllers
+# together, and differing clocks and delays make the controllers' shares overlap a little.
 BUDGET_SHARE_USED = 0.92
-# Share of the saved-up budget that requests of a priority leave to those before them, so that
-# a renewal or an accept never waits for a burst of lesser ones to be earned back.
+# Share of a bucket's capacity that requests of a priority leave to more urgent ones, so that a
+# lease renewal or an accepted job never waits until the tokens that a burst of less urgent
+# requests has spent are refilled.
 RESERVED_SHARE = {RequestPriority.PROGRESS: 0.4, RequestPriority.READ: 0.2}
-# A write with more changes than this share of the saved-up budget needs no more than the share.
+# Share of the change bucket's capacity that a write needs at most, however many changes it has:
+# otherwise a write with more changes than the capacity would never be sent.
 MAX_REQUIRED_SHARE = 0.5
+# Timeout of transactions, and of requests that are queued without one.
 REQUEST_TIMEOUT_SECONDS = 1.5
 
 
 class _QueuedRequest(msgspec.Struct):
-    """A request that is not a transaction."""
+    """A queued request that is not a transaction."""
 
     method: str
     path: str
     body: bytes | None
     timeout_s: float
     on_response: ResponseHandler
-    expires_at: float
+    expires_at: float  # monotonic clock, in seconds; not sent by then, it is refused
 
 
 def _ignore_future_limits() -> None:
-    """The handler where no lower limits are announced."""
+    """Do nothing: the handler in a deployment without future limits."""
 
 
 class StateClient:
-    """Queues of requests and writes by priority, sent as the budgets allow."""
+    """Queues requests and writes by priority and sends them as the rate limits allow."""
 
     def __init__(
         self,
@@ -64,18 +69,27 @@
         txn_ops: int,
         emit: Callable[[Effect], None],
     ) -> None:
-        """The rates, a second, are this controller's; `txn_ops` changes fit one transaction."""
+        """Create a client with empty queues.
+
+        Args:
+            address: the state service, as host:port.
+            request_rate: requests a second that this controller may send.
+            change_rate: changes a second that this controller may write.
+            txn_ops: how many changes one transaction may hold.
+            emit: called with each HTTP call to be sent.
+        """
         self.address = address
         self.txn_ops = txn_ops
         self.request_budget = TokenBucket(request_rate * BUDGET_SHARE_USED)
         self.change_budget = TokenBucket(change_rate * BUDGET_SHARE_USED)
         self.emit = emit
         self.timeout_s = REQUEST_TIMEOUT_SECONDS
-        # Values above this size are refused once the announced limits hold; then the handler is
-        # called.
+        # Size in bytes above which the service refuses values once its future limits hold. A
+        # refused write with a larger value shows that they do: `on_future_limits` is called.
         self.future_value_bytes = float("inf")
         self.on_future_limits: Callable[[], None] = _ignore_future_limits
-        # Announced rates of requests and changes: kept to once the service enforces them.
+        # Rates of requests and changes a second that hold in future. They are adopted when the
+        # service first refuses a transaction for its rate.
         self._future_rates: tuple[float, float] | None = None
         self._writes: dict[RequestPriority, deque[Write]] = {
             priority: deque() for priority in RequestPriority
@@ -87,11 +101,11 @@
     # -- queueing --------------------------------------------------------------------------
 
     def write(self, write: Write) -> None:
-        """Queue a write; its callback gets the result."""
+        """Queue a write. Its callback is called once with the result."""
         self._writes[write.priority].append(write)
 
     def queued_changes(self, priority: RequestPriority) -> int:
-        """Changes of this priority that are not sent yet."""
+        """Return the number of queued changes of this priority."""
         return sum(len(write.changes) for write in self._writes[priority])
 
     def request(
@@ -104,9 +118,10 @@
         timeout_s: float | None = None,
         expires_at: float = float("inf"),
     ) -> None:
-        """Queue any request that is not a transaction.
+        """Queue a request that is not a transaction.
 
-        Not sent by `expires_at`, it ends with status 503.
+        A request that is not sent by `expires_at` (monotonic clock, in seconds) is not sent at
+        all: its handler gets status 503. `timeout_s` None: the client's timeout.
         """
         entry = _QueuedRequest(
             method, path, body, timeout_s or self.timeout_s, on_response, expires_at
@@ -114,14 +129,14 @@
         self._requests[priority].append(entry)
 
     def _requeue(self, writes: Iterable[Write]) -> None:
-        """Put writes that were not carried out back in front of their queues, in their order."""
+        """Put writes that were not carried out back at the head of their queues, in order."""
         for write in reversed(list(writes)):
             self._writes[write.priority].appendleft(write)
 
     # -- sending ---------------------------------------------------------------------------
 
     def send_queued(self, now: float) -> None:
-        """Send what the budgets allow, most urgent first."""
+        """Send what the budgets allow, most urgent first; `now`: monotonic clock, in seconds."""
         self.request_budget.refill(now)
         self.change_budget.refill(now)
         for priority in _PRIORITIES:
@@ -135,6 +150,7 @@
             self._send_writes(self._writes[priority], min_tokens, reserved_changes)
 
     def _refuse_expired(self, priority: RequestPriority, now: float) -> None:
+        """Refuse expired requests and writes at the head of their queues."""
         requests = self._requests[priority]
         while requests and requests[0].expires_at < now:
             requests.popleft().on_response(Response(HTTPStatus.SERVICE_UNAVAILABLE, b"", now))
@@ -168,11 +184,11 @@
             self._send_transaction(transaction)
 
     def _next_transaction(self, writes: deque[Write], reserved_changes: float) -> Transaction:
-        """Remove the writes that fit one transaction and the change budget from the queue."""
+        """Take from the queue the writes that fit one transaction and the change budget."""
         transaction = Transaction(self.txn_ops)
         while writes and transaction.has_room_for(writes[0]):
             change_count = len(writes[0].changes)
-            # A write larger than the saved-up budget is sent when the bucket is full.
+            # A large write may make the balance of tokens negative; later ones wait for the refill.
             required = min(change_count, self.change_budget.capacity * MAX_REQUIRED_SHARE)
             if self.change_budget.tokens - reserved_changes < required:
                 break
@@ -194,7 +210,7 @@
         if status == HTTPStatus.CONFLICT and len(writes) > 1:
             self._on_conflict_in_group(writes, set(decoded.failed))
         elif status == HTTPStatus.TOO_MANY_REQUESTS:
-            # Not carried out: again, in its place, once the budget allows.
+            # Not carried out: sent again, in the same order, once the budget allows.
             self._on_rate_limited()
             self._requeue(writes)
         elif status == HTTPStatus.BAD_REQUEST:
@@ -205,13 +221,19 @@
             _finish(writes, WriteResult(status, decoded.revision))
 
     def _on_conflict_in_group(self, writes: list[Write], failed_keys: set[str]) -> None:
-        """Nothing was carried out: only the writes whose conditions failed end."""
+        """Finish the writes whose conditions failed and send the others again.
+
+        No write of the transaction was carried out.
+        """
         conflicted = [write for write in writes if failed_keys & set(write.conditions)]
         self._requeue(write for write in writes if not failed_keys & set(write.conditions))
         _finish(conflicted, WriteResult(HTTPStatus.CONFLICT))
 
     def _on_invalid(self, writes: list[Write]) -> None:
-        """One of the writes is invalid: each is sent by itself to find out which."""
+        """Finish a single invalid write.
+
+        Of several writes it is not known which is invalid: each is sent again by itself.
+        """
         values = (change.value or b"" for write in writes for change in write.changes)
         if any(len(value) > self.future_value_bytes for value in values):
             self.on_future_limits()
@@ -225,28 +247,37 @@
     # -- rates -----------------------------------------------------------------------------
 
     def expect_lower_rates(self, request_rate: float, change_rate: float) -> None:
-        """From now on a 429 may mean that these rates, a second, hold."""
+        """Adopt these rates, a second, when the service next responds with status 429."""
         self._future_rates = (request_rate * BUDGET_SHARE_USED, change_rate * BUDGET_SHARE_USED)
 
     def _on_rate_limited(self) -> None:
-        """The service refused for its rate: others used more than their shares, or the announced
-        limits now hold."""
+        """Slow down after status 429.
+
+        Either other controllers used more than their shares, or the future limits hold now.
+        """
         if self._future_rates is not None:
             self._adopt_future_rates(*self._future_rates)
         self.change_budget.tokens = min(self.change_budget.tokens, 0.0)
 
     def _adopt_future_rates(self, request_rate: float, change_rate: float) -> None:
         if (
-            change_rate < self.change_budget.equal_rate
-            or request_rate < self.request_budget.equal_rate
+            change_rate < self.change_budget.base_rate
+            or request_rate < self.request_budget.base_rate
         ):
-            log.info("state rates lowered rps=%.1f write_rps=%.1f", request_rate, change_rate)
+            log.info(
+                "state service rate limits lowered rps=%.1f write_rps=%.1f",
+                request_rate,
+                change_rate,
+            )
         self.request_budget.lower_rate(request_rate)
         self.change_budget.lower_rate(change_rate)
 
 
 def _decode_response(response: Response) -> tuple[int | None, TransactionResponse]:
-    """The status, None where the outcome is unknown, and the body of a 200 or 409."""
+    """Return the status, and the body where the status is 200 or 409.
+
+    The status is None where the outcome is unknown.
+    """
     if response.status == RESPONSE_TOO_LONG:
         return None, TransactionResponse()
     if response.status in (HTTPStatus.OK, HTTPStatus.CONFLICT):
@@ -258,5 +289,6 @@
 
 
 def _finish(writes: Iterable[Write], result: WriteResult) -> None:
+    """Call the writes' callbacks with the result."""
     for write in writes:
         write.on_result(result)
--- a/fallpulley/state/current_reads.py
+++ b/fallpulley/state/current_reads.py
@@ -1,4 +1,4 @@
-"""Reads that confirm that the watch cache is current, for those who must not act on old data."""
+"""Reads that bring the watch cache up to date for requests that must not act on old data."""
 
 from __future__ import annotations
 
@@ -9,42 +9,46 @@
 from fallpulley.state.client import StateClient
 from fallpulley.state.transactions import RequestPriority
 
-# A read that takes longer counts as failed: users wait 2 s for an answer.
+# Timeout of a read, in the queue and once sent: users wait 2 s for a response.
 READ_TIMEOUT_SECONDS = 1.2
 
+# Gets whether the read succeeded, so that the watch cache is current.
 CurrentHandler = Callable[[bool], None]
 
 
 class _Waiter(NamedTuple):
-    """Waits for a read that was sent after its arrival."""
+    """A handler that waits for a read to be sent after its arrival."""
 
     on_current: CurrentHandler
-    expires_at: float
+    expires_at: float  # monotonic clock, in seconds
 
 
 class CurrentReads:
-    """One read at a time serves all who were waiting when it was sent.
-
-    `on_response` applies a read's response to the cache and returns whether the read succeeded.
-    """
+    """Sends one read at a time; each serves all handlers that waited when it was started."""
 
     def __init__(self, client: StateClient, on_response: Callable[[Response], bool]) -> None:
+        """Create it without waiting handlers.
+
+        Args:
+            client: sends the reads.
+            on_response: applies a read's response to the cache; returns whether the read succeeded.
+        """
         self._client = client
         self._on_response = on_response
         self._waiters: list[_Waiter] = []
         self._in_flight = False
 
-    def add(self, on_current: CurrentHandler, now: float) -> None:
-        """Call `on_current` after the next read, with whether it succeeded."""
+    def add_waiter(self, on_current: CurrentHandler, now: float) -> None:
+        """Call `on_current` after the next read, with whether the read succeeded."""
         self._waiters.append(_Waiter(on_current, now + READ_TIMEOUT_SECONDS))
 
     @property
-    def needed(self) -> bool:
-        """Somebody waits, and no read is under way."""
+    def read_needed(self) -> bool:
+        """Whether a handler waits and no read is in progress."""
         return bool(self._waiters) and not self._in_flight
 
-    def start(self, path: str, now: float) -> None:
-        """Send a read of `path` for all who wait now."""
+    def start_read(self, path: str, now: float) -> None:
+        """Start a read of `path` for all handlers that wait now."""
         waiters, self._waiters = self._waiters, []
         self._in_flight = True
 
@@ -62,8 +66,8 @@
             expires_at=now + READ_TIMEOUT_SECONDS,
         )
 
-    def expire(self, now: float) -> None:
-        """Fail those who have waited too long for a read to be sent."""
+    def expire_waiters(self, now: float) -> None:
+        """Fail the handlers that have waited too long for a read to be started."""
         if self._waiters and self._waiters[0].expires_at <= now:
             expired = [waiter for waiter in self._waiters if waiter.expires_at <= now]
             self._waiters = [waiter for waiter in self._waiters if waiter.expires_at > now]
--- a/fallpulley/state/paged_load.py
+++ b/fallpulley/state/paged_load.py
@@ -1,4 +1,4 @@
-"""Reading all keys of a prefix by pages."""
+"""Reads all keys of a prefix, page by page."""
 
 from __future__ import annotations
 
@@ -9,17 +9,13 @@
 from fallpulley.state.messages import Item, Page, decode
 from fallpulley.state.transactions import RequestPriority
 
-PAGE_SIZE = 400  # keys asked for at once: a few hundred KiB at the most, parsed in one go
+# Keys on one page: a few hundred KiB at most, which are parsed in one step.
+PAGE_SIZE = 400
 PAGE_TIMEOUT_SECONDS = 5.0
 
 
 class PagedLoad:
-    """Reads a prefix whenever it is started, one page after the other.
-
-    `on_item` gets each key as its page arrives; `on_loaded` gets the set of all keys and the
-    revision of the first page: later changes may or may not be among the items. `on_failed` gets
-    the time at which the load was started.
-    """
+    """Reads all keys of a prefix each time it is started, one page after the other."""
 
     def __init__(
         self,
@@ -29,6 +25,16 @@
         on_loaded: Callable[[set[str], int], None],
         on_failed: Callable[[float], None],
     ) -> None:
+        """Create it without starting a load.
+
+        Args:
+            client: sends the requests.
+            prefix: of the keys to be read.
+            on_item: called with each key and its value when its page arrives.
+            on_loaded: called after the last page with the set of all keys and the store's revision
+                at the first page. Changes after this revision may or may not be among the items.
+            on_failed: called when a page cannot be read, with the time at which the load started.
+        """
         self.in_progress = False
         self._client = client
         self._prefix = prefix
@@ -39,28 +45,28 @@
         self._revision = 0
 
     def start(self, now: float) -> None:
-        """Ask for the first page."""
+        """Request the first page; `now`: monotonic clock, in seconds."""
         self.in_progress = True
         self._request_page(now, "")
 
-    def _request_page(self, started_at: float, after: str) -> None:
+    def _request_page(self, started_at: float, after_key: str) -> None:
         def on_response(response: Response) -> None:
-            self._on_page(response, started_at, after)
+            self._on_page(response, started_at, after_key)
 
         path = f"/store?under={self._prefix}&page={PAGE_SIZE}"
-        if after:
-            path += f"&after={after}"
+        if after_key:
+            path += f"&after={after_key}"
         self._client.request(
             path, on_response, RequestPriority.READ, timeout_s=PAGE_TIMEOUT_SECONDS
         )
 
-    def _on_page(self, response: Response, started_at: float, after: str) -> None:
+    def _on_page(self, response: Response, started_at: float, after_key: str) -> None:
         page = decode(response.body, Page) if response.ok else None
         if page is None:
             self.in_progress = False
             self._on_failed(started_at)
             return
-        if not after:
+        if not after_key:
             self._keys = set()
             self._revision = page.revision
         for item in page.items:
--- a/fallpulley/state/token_bucket.py
+++ b/fallpulley/state/token_bucket.py
@@ -1,36 +1,40 @@
-"""Token buckets: rates of requests, changes and bytes that are kept over time."""
+"""Token buckets, which limit the rates of requests, changes and bytes."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Tokens for one budget: `rate` a second, saving up at most one second's worth.
+    """A bucket that earns `rate` tokens a second and holds at most those of one second.
 
-    Callers refill it, and spend tokens by lowering `tokens`.
+    Callers refill it and spend tokens by lowering `tokens`, which may become negative.
     """
 
     def __init__(self, rate: float) -> None:
-        self.equal_rate = rate  # a second; what each controller has where all have the same
-        self.share = 1.0  # of the equal rate
-        self.rate = rate
+        """Create a full bucket; `rate`: tokens a second."""
+        self.base_rate = rate  # tokens a second when all controllers have the same rate
+        self.share = 1.0  # factor by which the base rate is multiplied
+        self.rate = rate  # tokens a second
         self.capacity = max(rate, 1.0)
         self.tokens = self.capacity
-        self.refilled_at: float | None = None
+        self.refilled_at: float | None = None  # monotonic clock, in seconds; None: never
 
     def lower_rate(self, rate: float) -> None:
-        """Lower the equal rate to `rate` tokens a second; it is never raised."""
-        self.equal_rate = min(self.equal_rate, rate)
+        """Lower the base rate to `rate` tokens a second; it is never raised."""
+        self.base_rate = min(self.base_rate, rate)
         self.set_share(self.share)
 
     def set_share(self, share: float) -> None:
-        """Use `share` times the equal rate; all controllers' shares add up to their number."""
+        """Set the rate to `share` times the base rate.
+
+        The shares of all controllers add up to the number of controllers.
+        """
         self.share = share
-        self.rate = self.equal_rate * share
+        self.rate = self.base_rate * share
         self.capacity = max(self.rate, 1.0)
         self.tokens = min(self.tokens, self.capacity)
 
     def refill(self, now: float) -> None:
-        """Add the tokens earned since the last call; `now` in seconds of the monotonic clock."""
+        """Add the tokens earned since the last call; `now`: monotonic clock, in seconds."""
         if self.refilled_at is not None:
             self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
--- a/fallpulley/state/transactions.py
+++ b/fallpulley/state/transactions.py
@@ -8,16 +8,18 @@
 
 import msgspec
 
-# Of the 64 KiB that a transaction may have, leaving room for its frame.
+# Estimated bytes of all conditions and changes in a transaction. The service allows 64 KiB, which
+# must also hold the JSON around them.
 MAX_TRANSACTION_BYTES = 60 * 1024
-# The service allows so many conditions for each change that a transaction may hold.
+# A transaction may hold this many conditions for each change that it may hold.
 MAX_CONDITIONS_PER_CHANGE = 4
-# Names, separators and numbers around the key and value of one condition or change.
+# Bytes of one encoded condition or change besides its key and value: field names, separators and
+# numbers.
 ENTRY_OVERHEAD_BYTES = 40
 
 
 class RequestPriority(IntEnum):
-    """What is sent first when the budgets do not allow everything; lower values go first."""
+    """Order in which requests are sent when the budgets do not allow all; lower values first."""
 
     RENEWAL = 0
     ACCEPT = 1
@@ -26,36 +28,36 @@
 
 
 class WriteResult(msgspec.Struct, frozen=True):
-    """How a write ended."""
+    """The outcome of a write."""
 
-    # 200, 409 (a condition failed), 400 (invalid), 503 (not carried out); None: unknown, it may
-    # still be carried out later.
+    # 200 (committed), 409 (a condition failed), 400 (invalid) or 503 (not carried out); None: the
+    # outcome is unknown, and the write may still be carried out later.
     status: int | None
-    revision: int = 0  # of the store, where it was committed
+    revision: int = 0  # of the store, with the write; 0 unless it was committed
 
     @property
     def committed(self) -> bool:
-        """All of its changes are durable."""
+        """Whether all changes of the write are durable."""
         return self.status == HTTPStatus.OK
 
     @property
     def conflicted(self) -> bool:
-        """One of its conditions failed."""
+        """Whether a condition of the write failed."""
         return self.status == HTTPStatus.CONFLICT
 
     @property
     def invalid(self) -> bool:
-        """It was malformed, or its lease has expired."""
+        """Whether the write was malformed or its lease had expired."""
         return self.status == HTTPStatus.BAD_REQUEST
 
     @property
     def unknown(self) -> bool:
-        """No response: it may be carried out, now or later."""
+        """Whether no response came: the write may have been or may yet be carried out."""
         return self.status is None
 
     @property
     def refused(self) -> bool:
-        """It was not carried out, and not for a failed condition."""
+        """Whether the write was not carried out, for another reason than a failed condition."""
         return not (self.committed or self.conflicted or self.unknown)
 
 
@@ -63,7 +65,7 @@
 
 
 def ignore_result(result: WriteResult) -> None:
-    """The callback of writes whose outcome the watch shows."""
+    """Do nothing: the callback of a write whose outcome is learned from the watch."""
 
 
 class Change(msgspec.Struct):
@@ -74,7 +76,7 @@
     lease_id: int | None = None  # the key is deleted when this lease expires
 
     def to_wire(self) -> dict[str, object]:
-        """The change as a transaction holds it."""
+        """Return the change as an entry of an encoded transaction."""
         if self.value is None:
             return {"drop": self.key}
         entry: dict[str, object] = {"set": self.key, "v": msgspec.Raw(self.value)}
@@ -84,20 +86,24 @@
 
 
 class Write(msgspec.Struct):
-    """Changes that are carried out together, if all conditions hold.
+    """Changes that are carried out all or not at all, and only if all conditions hold.
 
-    Because of its conditions a write that arrives late or twice changes nothing.
+    Because of its conditions, a write that arrives late or twice changes nothing.
     """
 
-    conditions: dict[str, int]  # key -> the mod revision that it must have; 0: it must not exist
+    # By key: the `mod_revision` that the key must have; 0: the key must not exist.
+    conditions: dict[str, int]
     changes: list[Change]
     on_result: WriteCallback  # called once
     priority: RequestPriority = RequestPriority.ACCEPT
-    isolated: bool = False  # never shares a transaction with another write
-    expires_at: float = float("inf")  # if not sent by then, it is refused
+    isolated: bool = False  # sent in a transaction of its own
+    expires_at: float = float("inf")  # monotonic clock, in seconds; not sent by then, it is refused
 
     def estimated_bytes(self) -> int:
-        """An upper bound of its encoded length, for keys without characters to escape."""
+        """Return an upper bound of the encoded size in bytes.
+
+        It holds for keys without characters that JSON escapes.
+        """
         size = sum(len(key) + ENTRY_OVERHEAD_BYTES for key in self.conditions)
         return size + sum(
             len(change.key) + len(change.value or b"") + ENTRY_OVERHEAD_BYTES
@@ -105,52 +111,53 @@
         )
 
     def keys(self) -> set[str]:
-        """Every key that it reads or changes."""
+        """Return all keys that have a condition or are changed."""
         return set(self.conditions) | {change.key for change in self.changes}
 
 
 class TransactionResponse(msgspec.Struct, rename={"revision": "ledger"}):
-    """The response to a transaction that was committed or in conflict."""
+    """The response to a transaction that was committed or whose conditions failed."""
 
-    revision: int = 0
-    failed: list[str] = []  # keys whose condition did not hold
+    revision: int = 0  # of the store, with the transaction
+    failed: list[str] = []  # keys whose condition failed
 
 
 class Transaction:
-    """Writes that are sent as one transaction; `max_changes` bounds their changes."""
+    """Writes that are sent as one transaction."""
 
     def __init__(self, max_changes: int) -> None:
+        """Create an empty transaction; `max_changes`: how many changes it may hold."""
         self.writes: list[Write] = []
         self._max_changes = max_changes
-        self._changes = 0
-        self._conditions = 0
-        self._bytes = 0
+        self._change_count = 0
+        self._condition_count = 0
+        self._estimated_bytes = 0
         self._keys: set[str] = set()
 
     def has_room_for(self, write: Write) -> bool:
-        """Whether `write` may be added. A single write always may, whatever its size."""
+        """Return whether `write` may be added; the first one may, whatever its size."""
         if not self.writes:
             return True
         if write.isolated or self.writes[0].isolated:
             return False
         max_conditions = MAX_CONDITIONS_PER_CHANGE * self._max_changes
         return (
-            self._changes + len(write.changes) <= self._max_changes
-            and self._conditions + len(write.conditions) <= max_conditions
-            and self._bytes + write.estimated_bytes() <= MAX_TRANSACTION_BYTES
+            self._change_count + len(write.changes) <= self._max_changes
+            and self._condition_count + len(write.conditions) <= max_conditions
+            and self._estimated_bytes + write.estimated_bytes() <= MAX_TRANSACTION_BYTES
             and self._keys.isdisjoint(write.keys())
         )
 
     def add(self, write: Write) -> None:
-        """Add a write that there is room for."""
+        """Add a write for which `has_room_for` returned True."""
         self.writes.append(write)
-        self._changes += len(write.changes)
-        self._conditions += len(write.conditions)
-        self._bytes += write.estimated_bytes()
+        self._change_count += len(write.changes)
+        self._condition_count += len(write.conditions)
+        self._estimated_bytes += write.estimated_bytes()
         self._keys |= write.keys()
 
     def encode(self) -> bytes:
-        """The body of the request."""
+        """Return the body of the request to the state service."""
         return msgspec.json.encode(
             {
                 "if": [
--- a/fallpulley/state/watch_cache.py
+++ b/fallpulley/state/watch_cache.py
@@ -1,7 +1,8 @@
-"""The watch cache: this controller's copy of the shared records' keys and revisions.
+"""The watch cache: keeps the keys and revisions of the shared records up to date.
 
-All shared records live under one prefix and so arrive in one order: whoever has seen a change
-has seen every earlier one. The fencing rules of `shards` depend on that.
+All shared records have one key prefix, so that a single watch delivers their changes in the order
+of the store's revisions: a controller that has applied a change has applied every earlier one. The
+fencing rules of `shards` depend on that.
 """
 
 from __future__ import annotations
@@ -20,35 +21,47 @@
 log = logging.getLogger(__name__)
 
 ROOT_PREFIX = "live/"
-# Pauses after a load (from its start) and after a watch that failed.
+# Delay of the next load after the start of a failed one.
 LOAD_RETRY_SECONDS = 0.5
+# Delay of the next watch after a failed one.
 WATCH_RETRY_SECONDS = 0.4
-# Beyond the time for which the service may hold a watch open.
+# Timeout of a watch beyond the time for which the service may hold it open.
 WATCH_TIMEOUT_MARGIN_SECONDS = 1.5
 
-# Gets a key, its encoded value (None: deleted) and the revision of the change.
+# Gets a key, its encoded value (None: the key was deleted) and the revision of the change.
 KeyChangedHandler = Callable[[str, bytes | None, int], None]
 
 
 def _ignore_change(key: str, value: bytes | None, mod_revision: int) -> None:
-    """The handler until somebody subscribes."""
+    """Do nothing: the handler before `WatchCache.subscribe` is called."""
 
 
 class WatchCache:
-    """Loads all keys by pages, then watches them.
-
-    `loaded` says that all keys were read once; `ready` that a watch has succeeded since, so that
-    the copy is complete. `fresh_at` is when the last successful watch or read was sent.
+    """Loads all keys page by page, then watches them for changes.
+
+    Attributes:
+        mod_revisions: the revision of each key's last change; negative: the key was deleted by it.
+        revision: the store's revision up to which all changes are applied.
+        loaded: whether all keys were read and no watch has been lost since.
+        ready: whether a watch or a current read has succeeded since the load. Only then is the
+            cache complete: a load may miss changes that are made while it runs.
+        fresh_at: when the latest of the successful watches and reads was sent (monotonic clock, in
+            seconds).
     """
 
     def __init__(self, client: StateClient, wait_s: float, min_interval_s: float) -> None:
-        """`wait_s`: how long the service holds a watch open; `min_interval_s`: between watches."""
+        """Create an empty cache.
+
+        Args:
+            client: sends the requests.
+            wait_s: how long the service may hold a watch open until a key changes.
+            min_interval_s: from when a successful watch was sent until the next one starts.
+        """
         self.client = client
         self.wait_s = wait_s
         self.min_interval_s = min_interval_s
-        # By key; negative: the revision at which the key was deleted.
         self.mod_revisions: dict[str, int] = {}
-        self.revision = 0  # of the store, up to which all changes are applied
+        self.revision = 0
         self.loaded = False
         self.ready = False
         self.fresh_at = float("-inf")
@@ -58,29 +71,30 @@
         )
         self._current_reads = CurrentReads(client, self._on_events)
         self._watching = False
-        self._next_request_at = float("-inf")  # of a watch or a load
+        # When the next watch or load may start (monotonic clock, in seconds).
+        self._next_request_at = float("-inf")
 
     def subscribe(self, on_key_changed: KeyChangedHandler) -> None:
-        """Call this for every change, in the order of the store's revisions."""
+        """Call `on_key_changed` for each change from now on, in the order described above."""
         self._on_key_changed = on_key_changed
 
     def mod_revision(self, key: str) -> int:
-        """The key's revision as a condition of a write: 0 where it does not exist."""
+        """Return the key's revision for a write's condition; 0: the key does not exist."""
         return max(0, self.mod_revisions.get(key, 0))
 
     def when_current(self, on_current: CurrentHandler, now: float) -> None:
-        """Call `on_current` after a read that is sent from now on, with whether it succeeded."""
-        self._current_reads.add(on_current, now)
+        """Call `on_current` after a read that starts after this call, with whether it succeeded."""
+        self._current_reads.add_waiter(on_current, now)
 
     def tick(self, now: float) -> None:
-        """Queue the requests that are needed now."""
+        """Queue the loads, watches and reads that are due."""
         if not self.loaded:
             if not self._load.in_progress and now >= self._next_request_at:
                 self._load.start(now)
-            self._current_reads.expire(now)
+            self._current_reads.expire_waiters(now)
             return
-        if self._current_reads.needed:
-            self._current_reads.start(self._events_path(0.0), now)
+        if self._current_reads.read_needed:
+            self._current_reads.start_read(self._events_path(0.0), now)
         if not self._watching and now >= self._next_request_at:
             self._start_watch(now)
 
@@ -90,7 +104,10 @@
         self._apply(item.key, bytes(item.value), item.mod_revision)
 
     def _on_loaded(self, keys: set[str], revision: int) -> None:
-        """Known keys that no page held were deleted, unless they were created since."""
+        """Apply the deletion of known keys that are on no page, and end the load.
+
+        A key with a later revision than the load was created meanwhile and stays.
+        """
         for key, mod_revision in list(self.mod_revisions.items()):
             if 0 < mod_revision <= revision and key not in keys:
                 self._apply(key, None, revision)
@@ -109,7 +126,7 @@
 
     def _start_watch(self, now: float) -> None:
         self._watching = True
-        # The first watch after a load waits for nothing: only then is the copy complete.
+        # The first watch after a load returns at once: its response completes the cache.
         wait_s = self.wait_s if self.ready else 0.0
 
         def on_response(response: Response) -> None:
@@ -126,10 +143,15 @@
         )
 
     def _on_events(self, response: Response) -> bool:
-        """Apply the response of a watch or a current read; False if it failed."""
+        """Apply the response to a watch or a current read; return whether it succeeded."""
         if response.status in (HTTPStatus.GONE, RESPONSE_TOO_LONG):
-            # Read again by pages: asked once more, the changes of a long gap are only more.
-            log.info("watch lost revision=%d status=%d", self.revision, response.status)
+            # The changes are no longer stored, or too many for one response. A repeated watch
+            # would get only more of them, so all keys are loaded again.
+            log.info(
+                "watch lost, loading all keys again revision=%d status=%d",
+                self.revision,
+                response.status,
+            )
             self.loaded = self.ready = False
             return False
         events = decode(response.body, Events) if response.ok else None
@@ -151,13 +173,14 @@
             self._apply(event.delete, None, event.mod_revision)
 
     def _apply(self, key: str, value: bytes | None, mod_revision: int) -> None:
-        # A deleted key keeps the deletion's revision as a negative one, so that a response
-        # that was overtaken on its way cannot bring the key back.
+        # The revision of a deletion is kept, as a negative number, so that an older response that
+        # arrives later does not bring the key back.
         if mod_revision <= abs(self.mod_revisions.get(key, 0)):
             return
         self.mod_revisions[key] = mod_revision if value is not None else -mod_revision
         try:
             self._on_key_changed(key, value, mod_revision)
         except Exception:
-            # One record must not keep all later ones from being applied, and every job unknown.
-            log.exception("record failed key=%s", key)
+            # A record that cannot be handled must not keep all later ones from being applied:
+            # no job would be known.
+            log.exception("handling of changed record failed key=%s", key)
