--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -66,7 +66,7 @@
         address: str,
         request_rate: float,
         change_rate: float,
-        txn_ops: int,
+        max_transaction_changes: int,
         emit: Callable[[Effect], None],
     ) -> None:
         """Create a client with empty queues.
@@ -75,11 +75,11 @@
             address: the state service, as host:port.
             request_rate: requests a second that this controller may send.
             change_rate: changes a second that this controller may write.
-            txn_ops: how many changes one transaction may hold.
+            max_transaction_changes: how many changes one transaction may hold.
             emit: called with each HTTP call to be sent.
         """
         self.address = address
-        self.txn_ops = txn_ops
+        self.max_transaction_changes = max_transaction_changes
         self.request_budget = TokenBucket(request_rate * BUDGET_SHARE_USED)
         self.change_budget = TokenBucket(change_rate * BUDGET_SHARE_USED)
         self.emit = emit
@@ -185,7 +185,7 @@
 
     def _next_transaction(self, writes: deque[Write], reserved_changes: float) -> Transaction:
         """Take from the queue the writes that fit one transaction and the change budget."""
-        transaction = Transaction(self.txn_ops)
+        transaction = Transaction(self.max_transaction_changes)
         while writes and transaction.has_room_for(writes[0]):
             change_count = len(writes[0].changes)
             # A large write may make the balance of tokens negative; later ones wait for the refill.
--- a/fallpulley/state/watch_cache.py
+++ b/fallpulley/state/watch_cache.py
@@ -75,7 +75,11 @@
         self._next_request_at = float("-inf")
 
     def subscribe(self, on_key_changed: KeyChangedHandler) -> None:
-        """Call `on_key_changed` for each change from now on, in the order described above."""
+        """Call `on_key_changed` for each change from now on.
+
+        Changes from watches come in the order of the store's revisions, those from a load in the
+        order of the keys.
+        """
         self._on_key_changed = on_key_changed
 
     def mod_revision(self, key: str) -> int:
--- a/fallpulley/wire/connection.py
+++ b/fallpulley/wire/connection.py
@@ -1,8 +1,8 @@
-"""What the connections of server and client have in common.
+"""The parts that the connections of the server and the client have in common.
 
-They are protocols of anyio's asyncio backend rather than anyio's streams. On a fifth of a core
-several hundred machines send a heartbeat every few seconds, and a stream's locks, scopes and
-wake-ups took most of the time of such a request.
+Connections are asyncio protocols rather than anyio streams. Several hundred machines send a
+heartbeat every few seconds to a controller that has a fifth of a core, and the locks, cancel scopes
+and task switches of a stream took most of the time of such a request.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 import h11
 
-# Heads that h11 has checked are kept by status or address and by length: a few of them occur again
-# and again.
+# Number of heads, checked by h11, that the caches of requests' and of responses' heads keep each.
+# The same few addresses, statuses and lengths occur again and again.
 HEAD_CACHE_SIZE = 512
 
 END_OF_MESSAGE = h11.EndOfMessage()
 
 
 def content_headers(length: int) -> list[tuple[str, str]]:
-    """The headers that describe a body of `length` bytes."""
+    """Return the headers that describe a body of `length` bytes."""
     headers = [("Content-Length", str(length))]
     if length:
         headers.append(("Content-Type", "application/json"))
@@ -27,25 +27,25 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """A connection with its h11 state; `transport` is None before and after it is open."""
+    """A connection with its h11 state; `transport` is None unless the connection is open."""
 
     def __init__(self, http: h11.Connection) -> None:
         self.http = http
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Store the transport of the opened connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def abort(self) -> None:
-        """Close at once; what is not sent yet is dropped."""
+        """Close the connection at once; data not sent yet is discarded."""
         if self.transport is not None:
             self.transport.abort()
 
     @property
     def between_messages(self) -> bool:
-        """Request and response are complete, and the connection may be used again."""
+        """Whether request and response are complete and the connection may be used again."""
         return self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
 
 
@@ -65,7 +65,10 @@
         self._size = 0
 
     def add(self, data: bytes) -> bool:
-        """Add a part; False, and the part is dropped, if the body becomes too long."""
+        """Append a part of the body.
+
+        Returns False, without appending it, if the body would become longer than `max_bytes`.
+        """
         self._size += len(data)
         if self._size > self._max_bytes:
             return False
@@ -73,7 +76,7 @@
         return True
 
     def finish(self) -> bytes:
-        """The whole body; the buffer is empty afterwards."""
+        """Return the whole body and empty the buffer."""
         body = b"".join(self._chunks)
         self.clear()
         return body
--- a/fallpulley/wire/idle_connections.py
+++ b/fallpulley/wire/idle_connections.py
@@ -9,45 +9,57 @@
 
 
 class IdleConnection(Protocol):
-    """What the pool needs to know of a connection."""
+    """A connection as `IdleConnections` uses it."""
 
     transport: asyncio.Transport | None
-    address: str
-    idle_since: float  # in seconds of the monotonic clock
+    address: str  # host:port
+    idle_since: float  # monotonic clock, in seconds
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=IdleConnection)
 
 
 class IdleConnections(Generic[ConnectionT]):
-    """Idle connections by address, at most `max_per_address` for each, for up to `max_idle_s`."""
+    """A pool of idle connections by address."""
 
     def __init__(self, max_per_address: int, max_idle_s: float) -> None:
+        """Create an empty pool.
+
+        Args:
+            max_per_address: how many connections to one address are kept.
+            max_idle_s: how long a connection may be idle to be used again.
+        """
         self._max_per_address = max_per_address
         self._max_idle_s = max_idle_s
         self._by_address: dict[str, list[ConnectionT]] = {}
-        # Those that may be closed for another address, the one idle for longest first.
+        # Connections that may be closed to make room for other addresses, longest idle first.
         self._evictable: dict[ConnectionT, None] = {}
 
     def count(self, address: str) -> int:
-        """How many there are to this address."""
+        """Return the number of idle connections to this address."""
         return len(self._by_address.get(address, ()))
 
     def has_room(self, address: str) -> bool:
-        """Whether one more connection to this address may be kept."""
+        """Return whether another connection to this address may be kept."""
         return self.count(address) < self._max_per_address
 
     def add(self, connection: ConnectionT, evictable: bool) -> None:
-        """Keep a connection that there is room for."""
+        """Keep a connection for which `has_room` returned True.
+
+        `evictable`: it may be closed to make room for a connection to another address.
+        """
         self._by_address.setdefault(connection.address, []).append(connection)
         if evictable:
             self._evictable[connection] = None
 
     def pop(self, address: str) -> ConnectionT | None:
-        """A usable connection to this address, no longer idle; unusable ones are closed."""
+        """Remove and return a usable connection to this address; None if there is none.
+
+        Unusable connections that are found first are closed.
+        """
         idle = self._by_address.get(address)
         expired_at = time.monotonic() - self._max_idle_s
         while idle:
@@ -60,7 +72,7 @@
         return None
 
     def remove(self, connection: ConnectionT) -> None:
-        """A connection is closed, whether or not it was idle."""
+        """Remove a closed connection, if it is in the pool."""
         self._evictable.pop(connection, None)
         idle = self._by_address.get(connection.address)
         if idle is not None:
@@ -70,13 +82,13 @@
                 del self._by_address[connection.address]
 
     def close_longest_idle(self) -> None:
-        """Close one connection to make room for another address, if any may be closed."""
+        """Close the evictable connection that has been idle for longest, if there is one."""
         longest_idle = next(iter(self._evictable), None)
         if longest_idle is not None:
             longest_idle.abort()
 
     def close_expired(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections that have been idle for `max_idle_s` or longer."""
         expired_at = time.monotonic() - self._max_idle_s
         for connection in list(self._all()):
             if connection.idle_since <= expired_at:
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -1,4 +1,4 @@
-"""The h11 server: reads whole requests, submits them to the controller, sends its responses."""
+"""The HTTP server: reads whole requests, passes them to the controller, sends its responses."""
 
 from __future__ import annotations
 
@@ -27,30 +27,31 @@
 
 log = logging.getLogger(__name__)
 
-TOO_LONG = b'{"error":"too long"}'
-BUSY = b'{"error":"busy"}'
+BODY_TOO_LONG_ERROR = b'{"error":"too long"}'
+BUSY_ERROR = b'{"error":"busy"}'
+# Value of the Retry-After header of a refused request.
 RETRY_AFTER_SECONDS = 1.0
-# Connections that may wait to be accepted, whatever the number of sockets.
+# Connections that may wait to be accepted; more where the server may have more sockets.
 MIN_BACKLOG = 512
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
-    """Sizes and times that a server keeps to; times in seconds."""
-
-    max_head_bytes: int = 16 * 1024
-    max_body_bytes: int = 64 * 1024
-    idle_s: float = 75.0  # how long an open connection may be idle between requests
-    read_s: float = 10.0  # a request that began must arrive within this
-    write_s: float = 10.0  # a response must be received within this
-    response_s: float = 15.0  # the controller always responds well before this
+    """Limits of a server's requests and connections; times in seconds."""
+
+    max_head_bytes: int = 16 * 1024  # of a request's head
+    max_body_bytes: int = 64 * 1024  # of a request's body
+    idle_s: float = 75.0  # how long a connection may be idle between requests
+    read_s: float = 10.0  # time limit for the rest of a request, from the latest data of its head
+    write_s: float = 10.0  # time limit for the client to receive a response
+    response_s: float = 15.0  # time limit for the controller, which always responds well before
     check_interval_s: float = 2.0  # between two checks for overdue connections
-    # Beyond this share of the sockets users' connections end with their response: a machine that
-    # finds no socket loses its lease with all its tasks, a user comes back through the load
-    # balancer.
+    # Share of the sockets beyond which the server is at capacity: users' connections are then
+    # closed after their response. A machine that gets no connection loses its lease and all its
+    # tasks, while a user connects again through the load balancer.
     capacity_share: float = 0.85
-    # For so long after a machine's connection had to make room for another one, machines'
-    # connections end with their response, too, while the server is at capacity: there are more
-    # machines than sockets.
+    # For this time after a new connection needed a socket and no user's connection was idle,
+    # machines' connections are closed after their response, too, while the server is at capacity:
+    # there are more machines than sockets.
     close_machines_s: float = 60.0
 
 
@@ -58,7 +59,7 @@
 
 
 class ConnectionState(Enum):
-    """What a connection is doing."""
+    """The stage of a connection's current request."""
 
     AWAITING_REQUEST = "awaiting request"  # idle, or the head is incomplete
     READING_BODY = "reading body"
@@ -73,7 +74,8 @@
     OTHER = "other"
 
 
-# Constants: looking up a member of an enum class costs ten times as much, several times a request.
+# Constants, because looking up a member of an enum class takes ten times as long, and it is done
+# several times for each request.
 _AWAITING_REQUEST = ConnectionState.AWAITING_REQUEST
 _READING_BODY = ConnectionState.READING_BODY
 _AWAITING_RESPONSE = ConnectionState.AWAITING_RESPONSE
@@ -86,8 +88,11 @@
 def response_head(
     status: int, length: int, retry_after: float | None = None, close: bool = False
 ) -> h11.Response:
-    """A response's head. h11 checks every header of a head that it is given; hundreds of responses
-    a second have the same few, and checking them anew was a third of the time of sending."""
+    """Return the head of a response; `retry_after` in seconds, None sends no such header.
+
+    Cached, because h11 checks every header of a new head. Hundreds of responses a second have the
+    same few heads, and checking them each time was a third of the time of sending.
+    """
     headers = content_headers(length)
     if retry_after is not None:
         headers.append(("Retry-After", str(max(1, round(retry_after)))))
@@ -103,7 +108,10 @@
 
 
 class ConnectionResponse:
-    """The pending response to a connection's request; without a connection once it has ended."""
+    """The pending response to a request.
+
+    `connection` is None once the response is sent or the connection is closed.
+    """
 
     __slots__ = ("connection",)
 
@@ -111,14 +119,14 @@
         self.connection: Connection | None = connection
 
     def __call__(self, status: int, body: bytes, retry_after: float | None, /) -> None:
-        """Send the response, unless there was one or the connection is closed."""
+        """Send the response, unless one was sent before or the connection is closed."""
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.respond(self, status, body, retry_after)
 
 
 class Connection(HttpConnection):
-    """One connection: a request at a time, each answered before the next is read."""
+    """A server's connection; each request is responded to before the next one is read."""
 
     def __init__(self, server: Server) -> None:
         limits = server.limits
@@ -129,27 +137,35 @@
         self.limits = limits
         self.client_kind = _OTHER
         self._state = _AWAITING_REQUEST
-        self._overdue_at = 0.0  # in every state
-        self._limited = False  # the limit counts the request in progress
+        # When the current state has lasted too long (monotonic clock, in seconds).
+        self._overdue_at = 0.0
+        self._counted_in_limit = False  # whether the user request limit counts the current request
         self._pending_response: ConnectionResponse | None = None
         self._request: h11.Request | None = None
         self._body = BodyBuffer(limits.max_body_bytes)
-        self._received_at = 0.0  # when the request was complete
+        # When the current request was complete (monotonic clock, in seconds).
+        self._received_at = 0.0
 
     # -- events of the transport -----------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the connection if there is a socket for it, if need be an idle one's."""
+        """Accept the connection, or abort it if all sockets are in use.
+
+        If necessary, an idle connection is closed for it.
+        """
         super().connection_made(transport)
         server = self.server
-        if len(server.open) >= server.sockets and not server.close_longest_idle():
+        if (
+            len(server.open_connections) >= server.max_connections
+            and not server.close_longest_idle()
+        ):
             self.abort()
             return
-        server.open.add(self)
+        server.open_connections.add(self)
         self._overdue_at = time.monotonic() + self.limits.idle_s
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed; a response that comes now is dropped."""
+        """Forget the closed connection; a later response of the controller is discarded."""
         self.server.on_closed(self)
         self.transport = None
         self._leave_limit()
@@ -159,7 +175,7 @@
             self._state = _AWAITING_REQUEST
 
     def data_received(self, data: bytes) -> None:
-        """Read on, unless a request is in progress."""
+        """Read the request as far as it has arrived, unless one is awaiting its response."""
         if self.transport is None:
             return
         if self._state is _AWAITING_REQUEST:
@@ -170,20 +186,20 @@
             if self._state is not _AWAITING_RESPONSE:
                 self._read_request()
             elif len(self.http.trailing_data[0]) > self.limits.max_body_bytes:
-                self.abort()  # nobody pipelines: this is no client of ours
+                self.abort()  # supported clients do not pipeline requests
         except Exception:
-            # A request must never harm other connections or end the process.
-            log.exception("request failed")
+            # An unexpected error ends only this connection, not the process.
+            log.exception("reading a request failed")
             self.abort()
 
     def eof_received(self) -> bool:
-        """Close when the other side does."""
+        """Close the connection when the client has closed its side."""
         return False
 
     # -- requests --------------------------------------------------------------------------
 
     def _read_request(self) -> None:
-        """Read what has arrived, up to a whole request."""
+        """Read what has arrived, up to the end of one request."""
         while self.transport is not None and not self.transport.is_closing():
             try:
                 event = self.http.next_event()
@@ -199,13 +215,13 @@
                 return
 
     def _send_continue(self, transport: asyncio.Transport) -> None:
-        """Ask for the body, if the client waits for that."""
+        """Send status 100 if the client waits for it before it sends the body."""
         if self.http.they_are_waiting_for_100_continue:
             head = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
             transport.write(self.http.send(head) or b"")
 
     def _on_event(self, event: h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]) -> bool:
-        """Handle a part of a request; False when no more is to be read now."""
+        """Handle a part of a request; return False when no more is to be read now."""
         if type(event) is h11.Request:
             self._request = event
             self._state = _READING_BODY
@@ -214,7 +230,7 @@
         if type(event) is h11.Data:
             if self._body.add(event.data):
                 return True
-            self._send(HTTPStatus.BAD_REQUEST, TOO_LONG, None, close=True)
+            self._send(HTTPStatus.BAD_REQUEST, BODY_TOO_LONG_ERROR, None, close=True)
             self._close()
         elif type(event) is h11.EndOfMessage and self._request is not None:
             request, self._request = self._request, None
@@ -224,25 +240,26 @@
         return False
 
     def _on_request(self, request: h11.Request, body: bytes) -> None:
+        """Pass a whole request to the controller, or refuse a user's beyond the limit."""
         path = request.target.decode("ascii", "replace")
         self._received_at = time.monotonic()
         self._overdue_at = self._received_at + self.limits.response_s
         self._state = _AWAITING_RESPONSE
         self._pending_response = pending_response = ConnectionResponse(self)
         self.client_kind = _client_kind(path)
-        limit = self.server.limit
+        limit = self.server.user_request_limit
         if limit is not None and self.client_kind is _USER:
             if not limit.enter(query=request.method == b"GET"):
-                pending_response(HTTPStatus.SERVICE_UNAVAILABLE, BUSY, RETRY_AFTER_SECONDS)
+                pending_response(HTTPStatus.SERVICE_UNAVAILABLE, BUSY_ERROR, RETRY_AFTER_SECONDS)
                 return
-            self._limited = True
+            self._counted_in_limit = True
         method = request.method.decode("ascii")
         self.server.on_request(Request(pending_response, method, path, body))
 
     def _leave_limit(self) -> None:
-        if self._limited and self.server.limit is not None:
-            self._limited = False
-            self.server.limit.leave(time.monotonic() - self._received_at)
+        if self._counted_in_limit and self.server.user_request_limit is not None:
+            self._counted_in_limit = False
+            self.server.user_request_limit.leave(time.monotonic() - self._received_at)
 
     # -- responses -------------------------------------------------------------------------
 
@@ -253,7 +270,7 @@
         body: bytes,
         retry_after: float | None,
     ) -> None:
-        """Send the response to the request in progress."""
+        """Send the response to the current request; ignore one to an earlier request."""
         if self._pending_response is not pending_response or self.transport is None:
             return
         self._pending_response = None
@@ -263,18 +280,19 @@
             close = self.server.must_close_after_response(self)
             self._send(status, body, retry_after, close)
             if self.between_messages:
-                self._await_next_request()
+                self._prepare_next_request()
             else:
                 self._close()
         except Exception:
-            log.exception("response failed")
+            log.exception("sending a response failed")
             self.abort()
 
-    def _await_next_request(self) -> None:
+    def _prepare_next_request(self) -> None:
         self.http.start_next_cycle()
         self.server.on_idle(self)
         if self.http.trailing_data[0]:
-            # Never within the controller's step: the next request is for its next batch.
+            # Not read at once: the controller carries out the effects of a step now, and the next
+            # request belongs to its next batch of commands.
             asyncio.get_running_loop().call_soon(self._read_request)
 
     def _send(
@@ -293,18 +311,23 @@
     # -- closing ---------------------------------------------------------------------------
 
     def _close(self) -> None:
-        """Close once the response is sent."""
+        """Close the connection once its response is sent."""
         if self.transport is not None:
             self._overdue_at = min(self._overdue_at, time.monotonic() + self.limits.write_s)
             self.transport.close()
 
     def close_if_overdue(self, now: float) -> None:
-        """Close a connection whose other side sends nothing or does not receive its response."""
+        """Close the connection if its state has lasted too long.
+
+        The client has sent no request or does not receive its response, or the controller has not
+        responded. `now`: monotonic clock, in seconds.
+        """
         transport = self.transport
         if transport is None:
             return
         if transport.get_write_buffer_size() > 0:
-            # The response was sent with an idle time ahead of it: less is left for receiving it.
+            # `_send` has set the time limit of an idle connection. While data is left to be sent,
+            # the time limit for receiving a response applies.
             if now > self._overdue_at - self.limits.idle_s + self.limits.write_s:
                 transport.abort()
         elif now > self._overdue_at:
@@ -314,35 +337,43 @@
 
 
 class Server:
-    """Listens on one address. With a limit, user requests beyond it are refused at once."""
+    """Listens on one address and passes each whole request to a handler."""
 
     def __init__(
         self,
         address: str,
         on_request: Callable[[Request], None],
-        sockets: int,
-        limit: AdaptiveLimit | None = None,
+        max_connections: int,
+        user_request_limit: AdaptiveLimit | None = None,
         limits: ServerLimits = DEFAULT_LIMITS,
     ) -> None:
-        """`sockets`: connections that may be open; `on_request` gets each whole request."""
+        """Create a server that does not listen yet.
+
+        Args:
+            address: to listen on, as host:port.
+            on_request: called with each whole request.
+            max_connections: how many connections may be open.
+            user_request_limit: user requests beyond it are refused at once; None: no limit.
+            limits: of requests and connections.
+        """
         self.address = address
         self.on_request = on_request
-        self.sockets = sockets
-        self.limit = limit
+        self.max_connections = max_connections
+        self.user_request_limit = user_request_limit
         self.limits = limits
-        self.open: set[Connection] = set()
-        # Between two requests, the one idle for longest first.
+        self.open_connections: set[Connection] = set()
+        # Connections that wait for their next request, longest idle first.
         self._idle_users: dict[Connection, None] = {}
         self._idle_others: dict[Connection, None] = {}
-        self._close_machines_until = float("-inf")
+        self._close_machines_until = float("-inf")  # monotonic clock, in seconds
 
     @property
     def at_capacity(self) -> bool:
-        """Nearly all sockets are in use."""
-        return len(self.open) > self.limits.capacity_share * self.sockets
+        """Whether nearly all sockets are in use."""
+        return len(self.open_connections) > self.limits.capacity_share * self.max_connections
 
     def must_close_after_response(self, connection: Connection) -> bool:
-        """Whether a connection ends with the response that is sent now."""
+        """Return whether the connection is to be closed after the response that is sent now."""
         if not self.at_capacity:
             return False
         if connection.client_kind is _USER:
@@ -352,25 +383,30 @@
     # -- idle connections ------------------------------------------------------------------
 
     def on_idle(self, connection: Connection) -> None:
-        """The connection's request has been responded to."""
+        """Add a connection whose request was responded to to the idle connections."""
         is_user = connection.client_kind is _USER
         idle = self._idle_users if is_user else self._idle_others
         idle[connection] = None
 
     def on_active(self, connection: Connection) -> None:
-        """The connection is no longer idle."""
+        """Remove a connection that receives data from the idle connections."""
         self._idle_users.pop(connection, None)
         self._idle_others.pop(connection, None)
 
     def on_closed(self, connection: Connection) -> None:
-        """The connection is closed."""
-        self.open.discard(connection)
+        """Forget a closed connection."""
+        self.open_connections.discard(connection)
         self.on_active(connection)
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that has been idle for longest, a user's before a machine's; False:
-        there is none. A machine that sends a heartbeat every few seconds comes again with a new
-        one; without this a fleet larger than the sockets had its later machines refused for good.
+        """Close the connection that has been idle for longest, users' connections first.
+
+        A machine whose connection is closed opens a new one for its next heartbeat, some seconds
+        later. Without this, in a fleet with more machines than there are sockets, the machines that
+        connected last were refused for good.
+
+        Returns:
+            Whether there was an idle connection.
         """
         longest_idle = next(iter(self._idle_users), None)
         if longest_idle is None:
@@ -388,17 +424,17 @@
         """Serve until cancelled."""
         host, port = split_address(self.address)
         loop = asyncio.get_running_loop()
-        # After a restart every machine of the fleet connects at once: they queue here.
+        # After a restart all machines of the fleet connect at once and wait in the backlog.
         listener = await loop.create_server(
-            lambda: Connection(self), host, port, backlog=max(MIN_BACKLOG, self.sockets)
+            lambda: Connection(self), host, port, backlog=max(MIN_BACKLOG, self.max_connections)
         )
         try:
             while True:
                 await anyio.sleep(self.limits.check_interval_s)
                 now = time.monotonic()
-                for connection in list(self.open):
+                for connection in list(self.open_connections):
                     connection.close_if_overdue(now)
         finally:
             listener.close()
-            for connection in list(self.open):
+            for connection in list(self.open_connections):
                 connection.abort()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -83,7 +83,7 @@
     async def scenario(echo: Echo, address: str, client: Caller) -> None:
         for body in (b"one", b"two"):
             assert await client.call(address, "POST", "/work", body, 2.0) == (200, body)
-        assert client.client.idle.count(address) == 1
+        assert client.client.idle_connections.count(address) == 1
         for broken in (b"nonsense\r\n\r\n", b"GET / HTTP/9\r\n\r\n", b"\x00" * 100 + b"\r\n\r\n"):
             assert b" 4" in (await raw(address, broken))[:14]
         long = b"x" * (64 * 1024 + 1)
@@ -139,14 +139,14 @@
     """Idle connections to hundreds of machines, kept for 20 s, took heartbeats' sockets."""
 
     async def scenario(echo: Echo, address: str, client: Caller) -> None:
-        client.client.sockets = 4
+        client.client.max_connections = 4
         max_open = 0
         statuses: list[int | None] = []
 
         async def call(to_address: str) -> None:
             nonlocal max_open
             statuses.append((await client.call(to_address, "POST", "/do", b"{}", 2.0))[0])
-            max_open = max(max_open, len(client.client.open))
+            max_open = max(max_open, len(client.client.open_connections))
 
         others = [free_address() for _ in range(3)]
         async with anyio.create_task_group() as servers:
@@ -160,7 +160,7 @@
             assert statuses == [200] * 48
             assert max_open <= 4
             # Calls to the state service wait for nobody, even where no sockets are left at all.
-            client.client.sockets = 0
+            client.client.max_connections = 0
             client.client.priority_addresses = frozenset([others[0]])
             assert (await client.call(others[0], "GET", "/up", None, 1.0))[0] == 200
             servers.cancel_scope.cancel()
