--- a/fallpulley/records/__init__.py
+++ b/fallpulley/records/__init__.py
@@ -1,1 +1,1 @@
-"""The records that controllers share in the state service: formats, encodings, copies, updates."""
+"""Formats, encodings, local copies and updates of the records that controllers share."""
--- a/fallpulley/records/decoding.py
+++ b/fallpulley/records/decoding.py
@@ -1,4 +1,4 @@
-"""Stored values as records; a malformed value is logged and read as if it did not exist."""
+"""Decoding of stored values; a malformed value is logged and treated as if it did not exist."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def decode_or_none(value: bytes | None, decode: Callable[[bytes], T]) -> T | None:
-    """The record in a value; None if it was deleted or is malformed.
+    """Return the record that a value holds; None if the key was deleted or the value is malformed.
 
-    `decode` raises `msgspec.MsgspecError` for a malformed value.
+    `decode` must raise `msgspec.MsgspecError` for a malformed value.
     """
     if value is None:
         return None
     try:
         return decode(value)
     except msgspec.MsgspecError:
-        log.error("stored record malformed value=%.80r", value)
+        log.error("stored record is malformed and treated as absent value=%.80r", value)
         return None
--- a/fallpulley/records/layout.py
+++ b/fallpulley/records/layout.py
@@ -1,4 +1,4 @@
-"""The values of a shard's record: a single one, or a header and pages of machines."""
+"""Layout of a shard's record: a single value, or a header and pages of machines."""
 
 from __future__ import annotations
 
@@ -8,19 +8,21 @@
 from fallpulley.records.shard_record import MachinePage, ShardRecord, encode_page
 from fallpulley.state.transactions import MAX_TRANSACTION_BYTES, Change
 
-# A record with more machines is laid out in pages: every controller decodes all of a value at each
-# of its changes, which takes 2 ms of a whole core for as many, and 20 ms on a tenth of one.
+# Maximum number of machines in a single value; more are laid out in pages. Every controller
+# decodes a whole value at each of its changes, which takes 2 ms of a whole core for this many
+# machines, and 20 ms on a tenth of a core.
 MAX_SINGLE_VALUE_MACHINES = 1024
-# Machines in one page at the most.
+# Maximum number of machines in one page.
 MAX_PAGE_MACHINES = 512
-# A shard with no more machines than this has them in its record again.
+# Maximum number of machines of a shard whose pages are merged into a single value again.
 MAX_MERGED_MACHINES = 256
 
 
 def encode_single_value(record: ShardRecord, machines: Machines, limits: RecordLimits) -> bytes:
-    """The record with these machines as one value, larger than allowed if they do not fit.
+    """Return the record with these machines as one value; it may exceed `limits.value_bytes`.
 
-    Addresses are left out for want of room only where pages cannot make it.
+    Addresses that do not fit are left out only where pages would not help: in formats without
+    pages, and for a single machine.
     """
     changed = ShardRecord(record.owner, record.incarnation, machines, record.previous_owners)
     max_bytes = MAX_TRANSACTION_BYTES if limits.paged else limits.value_bytes
@@ -31,13 +33,13 @@
 
 
 def header_change(shard_id: str, record: ShardRecord, pages: dict[int, MachinePage]) -> Change:
-    """Write the record as a header of these pages."""
+    """Return the change that writes the record as a header that lists these pages."""
     header = ShardRecord(record.owner, record.incarnation, {}, record.previous_owners, True, pages)
     return Change(SHARD_PREFIX + shard_id, header.encode(True, 0))
 
 
 def page_change(shard_id: str, number: int, page: MachinePage, limits: RecordLimits) -> Change:
-    """Write a page; addresses are left out only where it could not be written with them."""
+    """Return the change that writes a page, without addresses if they make it too large."""
     value = encode_page(page)
     if len(value) > limits.value_bytes:
         value = encode_page(MachinePage(page.version, without_addresses(page.machines)))
@@ -45,14 +47,17 @@
 
 
 def is_too_large(page: MachinePage, limits: RecordLimits) -> bool:
-    """No value holds the page with its addresses."""
+    """Return whether the page with its addresses exceeds the size of a value."""
     return len(encode_page(page)) > limits.value_bytes
 
 
 def split_into_pages(
     shard_id: str, record: ShardRecord, mod_revision: int, limits: RecordLimits
 ) -> RecordUpdate:
-    """The record's machines in pages, neighbours together; requests wait for the next update."""
+    """Return an update that lays out the record's machines in pages, in order of their ids.
+
+    Requested changes are left to the next update.
+    """
     machine_ids = sorted(record.machines)
     max_pages = max(1, limits.max_changes - 1)
     count = min(max_pages, max(2, -(-len(machine_ids) // MAX_PAGE_MACHINES)))
@@ -68,7 +73,7 @@
 def _pages_of(
     record: ShardRecord, machine_ids: list[str], count: int, mod_revision: int
 ) -> dict[int, MachinePage]:
-    """At most `count` pages of equal size, by number."""
+    """Return at most `count` pages, by number; all but the last have the same size."""
     size = -(-len(machine_ids) // count)
     return {
         number: MachinePage(
@@ -83,9 +88,10 @@
 
 
 def merge_pages(shard_id: str, record: ShardRecord, limits: RecordLimits) -> RecordUpdate:
-    """The machines of all pages in the record again; requests wait for the next update.
+    """Return an update that writes all machines into the record again and deletes the pages.
 
-    A fleet that has shrunk pays for one value a change again.
+    After it, a shard that has shrunk needs only one value per change again. Requested changes are
+    left to the next update.
     """
     value = encode_single_value(record, record.machines, limits)
     changes = [Change(SHARD_PREFIX + shard_id, value)]
@@ -94,7 +100,10 @@
 
 
 def can_merge_pages(record: ShardRecord, added: int, limits: RecordLimits) -> bool:
-    """With so many machines added the record would still be well below the size of one value."""
+    """Return whether the pages fit into a single value, with room for machines to be added.
+
+    `added`: how many machines are to be added.
+    """
     if len(record.machines) + added > MAX_MERGED_MACHINES:
         return False
     if len(record.pages) + 1 > limits.max_changes:
--- a/fallpulley/records/machine_encoding.py
+++ b/fallpulley/records/machine_encoding.py
@@ -1,7 +1,8 @@
-"""Machines of a shard as the bytes of a stored value, and back.
+"""Encoding of a shard's machines as the bytes of a stored value, and decoding.
 
-Two encodings: groups of ids and addresses as text (first format), and runs of numbered ids whose
-addresses go in step with the numbers (compact format on).
+There are two encodings. In the first format, machines with the same type, zone and flags are
+stored as groups of ids and addresses in text. Since the compact format, they are stored as runs:
+sequences of numbered ids whose IP addresses are the numbers plus a fixed offset.
 """
 
 from __future__ import annotations
@@ -15,18 +16,19 @@
 
 
 class MachineEntry(msgspec.Struct, frozen=True):
-    """A machine of a shard as its record has it."""
+    """A machine as its shard's record describes it."""
 
     address: str
     machine_type: str
     zone: str
     spot: bool
-    # It may hold tasks. Written before the first START and taken back once the machine is
-    # confirmed empty, so that a new owner need not wait for machines that cannot hold any.
+    # Whether the machine may hold tasks. The flag is set before the first START is sent and
+    # cleared once the machine is confirmed empty, so that a new owner need not wait for machines
+    # that cannot hold tasks.
     occupied: bool = False
 
     def with_address(self, address: str) -> MachineEntry:
-        """The same machine at another address."""
+        """Return the same machine with another address."""
         return MachineEntry(address, self.machine_type, self.zone, self.spot, self.occupied)
 
 
@@ -34,7 +36,7 @@
 
 
 def without_addresses(machines: Machines) -> Machines:
-    """The same machines; their addresses come with heartbeats and the cloud's list."""
+    """Return the machines without addresses, which heartbeats and the cloud's list give again."""
     return {
         machine_id: MachineEntry("", entry.machine_type, entry.zone, entry.spot, entry.occupied)
         for machine_id, entry in machines.items()
@@ -43,7 +45,7 @@
 
 # -- groups: the first format --------------------------------------------------------------------
 
-# Machine type, zone, spot, occupied: what the machines of one group have in common.
+# The fields that the machines of one group have in common: machine type, zone, spot, occupied.
 _Traits = tuple[str, str, bool, bool]
 
 
@@ -54,14 +56,15 @@
     zone: str
     spot: bool
     occupied: bool
-    addresses: dict[str, str]  # by machine
+    addresses: dict[str, str]  # machine -> address
 
 
 def pack_groups(machines: Machines) -> bytes:
-    """Machines with the same traits together, in order of their ids, and compressed.
+    """Encode machines in the first format: grouped by traits, sorted by id, and compressed.
 
-    Ids and addresses of neighbours are nearly the same, so a thousand machines take some 7 KiB of
-    a value. As plain text 16 KiB held 368, and a larger fleet had to be split into shards.
+    Consecutive ids and addresses are nearly the same and compress well: a thousand machines take
+    about 7 KiB. As plain text, 16 KiB held 368 machines, and a larger fleet had to be split into
+    several shards.
     """
     groups: dict[_Traits, dict[str, str]] = {}
     for machine_id, entry in sorted(machines.items()):
@@ -72,7 +75,7 @@
 
 
 def unpack_groups(packed: bytes) -> Machines:
-    """Machines from the bytes of `pack_groups`.
+    """Decode the output of `pack_groups`.
 
     Raises `msgspec.MsgspecError` if they are malformed.
     """
@@ -97,28 +100,28 @@
 
 
 class _Run(msgspec.Struct, array_like=True):
-    """Machines whose ids are numbered and whose addresses go in step with the numbers."""
+    """Machines whose ids differ only in a number, with IP addresses at a fixed offset from it."""
 
     prefix: str
-    width: int  # digits of the number in an id
-    offset: int  # from an id's number to the machine's IP address as a number
-    port: int  # 0: addresses not known yet
-    steps: list[int]  # from one id's number to the next
+    width: int  # digits of the number in an id, leading zeros included
+    offset: int  # the machine's IP address as an integer, minus the number in its id
+    port: int  # port of all addresses; 0 if the addresses are not known yet
+    steps: list[int]  # first number, then the difference of each number to the one before
 
 
 class _RunGroup(msgspec.Struct, array_like=True):
-    """Machines with the same traits, as runs where their ids and addresses allow it."""
+    """Machines with the same traits, stored as runs as far as ids and addresses allow."""
 
     machine_type: str
     zone: str
     spot: bool
     occupied: bool
     runs: list[_Run]
-    others: dict[str, str]  # machine -> address, where no run describes it
+    others: dict[str, str]  # machine -> address, for machines that no run can describe
 
 
 class _RunPosition(NamedTuple):
-    """Which run describes a machine, and its number there."""
+    """The run that describes a machine, and the number in the machine's id."""
 
     prefix: str
     width: int
@@ -139,10 +142,10 @@
     return f"{ip >> 24}.{ip >> 16 & 255}.{ip >> 8 & 255}.{ip & 255}:{port}"
 
 
-# A page of a record is encoded by its shard's owner alone, a few pages again and again.
+# Cached because a shard's owner, which alone encodes its pages, encodes the same few repeatedly.
 @lru_cache(maxsize=4096)
 def _run_position(machine_id: str, address: str) -> _RunPosition | None:
-    """Where runs describe a machine; None where none can."""
+    """Return which run describes a machine; None if none can."""
     numbered = _NUMBERED_ID.fullmatch(machine_id)
     if numbered is None:
         return None
@@ -163,10 +166,10 @@
 
 
 def pack_runs(machines: Machines) -> bytes:
-    """Machines with the same traits together, neighbours as runs, and compressed.
+    """Encode machines in the compact format: grouped by traits, as runs, and compressed.
 
-    Neighbours are rented together: most steps are 1, and a thousand machines take about 1 KiB
-    of a value, where groups took 7.
+    Machines that are rented together have consecutive numbers, so most steps are 1: a thousand
+    machines take about 1 KiB, compared to 7 KiB with `pack_groups`.
     """
     groups: dict[_Traits, _RunGroup] = {}
     numbers_by_run: dict[tuple[object, ...], list[int]] = {}
@@ -191,7 +194,7 @@
 
 
 def _replace_by_steps(numbers: list[int]) -> None:
-    """Sort a run's numbers and replace each by its distance from the one before, in place."""
+    """Sort a run's numbers and replace each by its difference to the one before, in place."""
     numbers.sort()
     previous = 0
     for index, number in enumerate(numbers):
@@ -199,19 +202,21 @@
         previous = number
 
 
-# Prefix, width, number, IP address, port, traits: what a machine of a run was decoded from.
+# The values that a machine of a run is decoded from: prefix, width, number, IP, port, traits.
 _EntryKey = tuple[str, int, int, int, int, _Traits]
-# A machine's id and its entry.
+# A machine's id and its decoded entry.
 _CachedEntry = tuple[str, MachineEntry]
 
 
 class EntryCache:
-    """Entries decoded lately, in two generations: the older one goes when the newer one is full.
+    """A cache of recently decoded entries, in two generations.
 
-    Every controller reads every change of a record, and nearly all of it stayed the same:
-    decoding 600 machines took 4.5 ms without a cache and 1.3 ms with one. A fixed size would be
-    of no use to a fleet just above it, read over in the same order each time, so the size follows
-    the fleet.
+    When the newer generation is full, it replaces the older one, whose entries are dropped.
+
+    Every controller decodes a record at each of its changes, though nearly all entries stay the
+    same: decoding 600 machines took 4.5 ms without the cache and 1.3 ms with it. Entries are
+    looked up in the same order each time, so a cache slightly smaller than the fleet would hold
+    none when it is needed: its size grows with the fleet.
     """
 
     def __init__(self, min_size: int) -> None:
@@ -219,14 +224,14 @@
         self._newer: dict[_EntryKey, _CachedEntry] = {}
         self._older: dict[_EntryKey, _CachedEntry] = {}
 
-    def fit(self, machines: int) -> None:
-        """Hold at least as many entries as there are machines."""
-        self.size = max(self.size, machines)
+    def ensure_size(self, machine_count: int) -> None:
+        """Grow the size of a generation to at least `machine_count` entries."""
+        self.size = max(self.size, machine_count)
 
     def get(
         self, prefix: str, width: int, number: int, ip: int, port: int, traits: _Traits
     ) -> _CachedEntry:
-        """Id and entry of a machine of a run, made if it is not in the cache."""
+        """Return the id and the entry of a machine of a run, decoded if they are not cached."""
         key = (prefix, width, number, ip, port, traits)
         found = self._newer.get(key)
         if found is not None:
@@ -245,7 +250,7 @@
 
 
 def unpack_runs(packed: bytes) -> Machines:
-    """Machines from the bytes of `pack_runs`.
+    """Decode the output of `pack_runs`.
 
     Raises `msgspec.MsgspecError` if they are malformed.
     """
@@ -263,5 +268,5 @@
                 machines[machine_id] = entry
         for machine_id, address in group.others.items():
             machines[machine_id] = MachineEntry(address, *traits)
-    entry_cache.fit(len(machines))
+    entry_cache.ensure_size(len(machines))
     return machines
--- a/fallpulley/records/machine_shapes.py
+++ b/fallpulley/records/machine_shapes.py
@@ -1,4 +1,4 @@
-"""Processors of shards' machines by what a job may ask of a machine: type, zone, spot."""
+"""Processors of shards' machines, counted by machine type, zone and spot."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MachineShape(NamedTuple):
-    """What tells machines apart for a job's constraints."""
+    """The properties of a machine that a job may constrain."""
 
     machine_type: str
     zone: str
@@ -19,13 +19,13 @@
 
 
 class ProcessorCounts:
-    """Processors by shape, counted once for each revision of a shard's record."""
+    """Counts of processors by machine shape, cached per revision of a shard's record."""
 
     def __init__(self) -> None:
         self._by_shard: dict[str, Versioned[dict[MachineShape, float]]] = {}
 
     def clear(self) -> None:
-        """Machine types have changed."""
+        """Discard all cached counts, because the machine types have changed."""
         self._by_shard.clear()
 
     def by_shape(
@@ -34,7 +34,7 @@
         shard: Versioned[ShardRecord],
         machine_types: dict[str, MachineType],
     ) -> dict[MachineShape, float]:
-        """Processors of a shard's machines; those of unknown types are left out."""
+        """Return the processors of a shard's machines; machines of unknown types are left out."""
         counted = self._by_shard.get(shard_id)
         if counted is not None and counted.mod_revision == shard.mod_revision:
             return counted.value
--- a/fallpulley/records/messages.py
+++ b/fallpulley/records/messages.py
@@ -1,4 +1,4 @@
-"""Small records in the state service: sessions, the format marker, teams, machines to release."""
+"""Records of sessions, the record format, teams and machines to release, and lease grants."""
 
 from __future__ import annotations
 
@@ -9,29 +9,28 @@
     msgspec.Struct,
     rename={"controller_id": "label", "incarnation": "boot", "record_format": "format"},
 ):
-    """`live/session/<controller>` and `live/leader`, attached to the controller's lease."""
+    """The value of `live/session/<controller>` and `live/leader`, bound to a controller's lease."""
 
     controller_id: str
     incarnation: str
-    # The newest record format that the process knows. The first version did not publish it.
+    # Newest record format that the process can read. The first version did not publish it.
     record_format: int = 1
 
 
 class FormatMarker(msgspec.Struct, rename={"record_format": "format"}):
-    """`live/format`: records may be written in this format. Never lowered."""
+    """The value of `live/format`: the newest format that may be written. It is never lowered."""
 
     record_format: int
 
 
 class ReleaseRecord(msgspec.Struct, omit_defaults=True, rename={"machine_ids": "hosts"}):
-    """`live/retire/<machine>`: machines to be released; empty in the first format, which means
-    the machine in the key alone."""
+    """The value of `live/retire/<machine>`: machines to be released to the cloud."""
 
-    machine_ids: list[str] = []
+    machine_ids: list[str] = []  # empty in the first format: only the machine in the key
 
 
 class TeamShard(msgspec.Struct, rename={"shard_id": "block"}):
-    """`live/team/<name>`: the one shard of a team with a limit."""
+    """The value of `live/team/<name>`: the only shard that holds jobs of a team with a limit."""
 
     shard_id: str
 
--- a/fallpulley/records/page_assembly.py
+++ b/fallpulley/records/page_assembly.py
@@ -1,4 +1,4 @@
-"""Shard records whose machines stand in pages, assembled from the values as they arrive."""
+"""Assembly of shard records from their headers and pages of machines as these arrive."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class PageAssembly:
-    """The newest headers and pages as seen, whether or not they belong together yet."""
+    """The newest headers and pages received, whether or not they are of the same version."""
 
     def __init__(self) -> None:
         self._headers: dict[str, Versioned[ShardHeader]] = {}
         self._pages: dict[str, dict[int, MachinePage]] = {}  # shard -> its pages by number
 
     def set_header(self, shard_id: str, header: ShardHeader, mod_revision: int) -> None:
-        """Store a header that names pages."""
+        """Store a header, which lists the versions of its pages."""
         self._headers[shard_id] = Versioned(header, mod_revision)
 
     def remove_header(self, shard_id: str) -> None:
-        """The shard is gone, or its machines stand in its record."""
+        """Remove a shard's header: the shard was deleted, or its record now holds the machines."""
         self._headers.pop(shard_id, None)
 
     def set_page(self, shard_id: str, number: int, page: MachinePage | None) -> None:
-        """Store a page, or forget it."""
+        """Store a page, or remove it if `page` is None."""
         pages = self._pages.setdefault(shard_id, {})
         if page is None:
             pages.pop(number, None)
@@ -31,11 +31,12 @@
             pages[number] = page
 
     def assemble(self, shard_id: str, published_revision: int) -> Versioned[ShardRecord] | None:
-        """The record with its machines, if it is newer than the published one and its pages
-        belong to it.
+        """Return a shard's record with its machines.
 
-        One transaction writes header and pages, but they arrive one after the other, and the
-        responses of a listing may lie a change apart.
+        None if it is not newer than `published_revision`, or while a page is missing or is not of
+        the version that the header lists. One transaction writes header and pages, but they
+        arrive one after the other; and while keys are listed page by page, a transaction may
+        change them between two responses.
         """
         entry = self._headers.get(shard_id)
         if entry is None or published_revision >= entry.mod_revision:
@@ -53,7 +54,7 @@
         return Versioned(record, entry.mod_revision)
 
     def _matching_pages(self, shard_id: str, header: ShardHeader) -> dict[int, MachinePage] | None:
-        """The pages that a header names; None while any of them is of another version."""
+        """Return the pages that a header lists; None if any is missing or of another version."""
         stored = self._pages.get(shard_id, {})
         matching: dict[int, MachinePage] = {}
         for number, version in header.page_versions.items():
--- a/fallpulley/records/paged_update.py
+++ b/fallpulley/records/paged_update.py
@@ -1,4 +1,4 @@
-"""A change of a shard whose machines stand in pages."""
+"""Updates of shards whose machines are stored in pages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PagedUpdate:
-    """One update of header and pages, built step by step and used once."""
+    """A builder for one update of a shard's header and pages; each instance is used once."""
 
     def __init__(
         self,
@@ -33,15 +33,15 @@
         self._mod_revision = mod_revision
         self._change = change
         self._limits = limits
-        self._rewritten: dict[int, Machines] = {}  # machines of the pages to be written, by number
+        self._rewritten: dict[int, Machines] = {}  # page number -> machines, for pages to write
         self._added: list[str] = []
         self._removed: list[str] = []
 
     def build(self) -> RecordUpdate:
-        """The values to write: as much of the change as one transaction holds."""
+        """Return the values to write for as much of the change as one transaction holds."""
         if can_merge_pages(self._record, len(self._change.add), self._limits):
             return merge_pages(self._shard_id, self._record, self._limits)
-        # Removals first: they make room in the pages that they touch.
+        # Removals come first, because they make room in the pages that they rewrite.
         self._remove_machines()
         self._rewrite_flagged_pages()
         self._add_machines()
@@ -76,18 +76,24 @@
         return None
 
     def _rewrite(self, number: int | None) -> Machines | None:
-        """The machines of a page that is to be written; None where no more pages can be."""
+        """Return the machines of a page to be written, for modification.
+
+        None if there is no such page, or if the transaction can write no further page.
+        """
         if number is None:
             return None
         machines = self._rewritten.get(number)
-        # One change is left for a page that has to be split.
+        # One change is reserved for splitting a page.
         if machines is None and len(self._rewritten) + 1 < max(2, self._limits.max_changes - 1):
             page = self._record.pages.get(number)
             machines = self._rewritten[number] = dict(page.machines) if page is not None else {}
         return machines
 
     def _page_with_room(self) -> int:
-        """A page that is written anyway, else the fullest with room, else a new one."""
+        """Return the number of a page with room for a machine.
+
+        A page that is rewritten anyway is preferred, then the fullest other page, then a new one.
+        """
         for number, machines in self._rewritten.items():
             if len(machines) < MAX_PAGE_MACHINES:
                 return number
@@ -105,7 +111,11 @@
         return number
 
     def _split_oversized_pages(self) -> None:
-        """A page that no value holds is split, or leaves machines added last to a later update."""
+        """Split each rewritten page that is too large for a value.
+
+        If the transaction can write no further page, machines to be added, or the whole rewrite
+        of the page, are left to a later update.
+        """
         unchecked = list(self._rewritten)
         while unchecked:
             number = unchecked.pop()
@@ -121,7 +131,7 @@
                 self._keep_unchanged(number)
 
     def _split_page(self, machines: Machines) -> int:
-        """Move the upper half of a page's machines to a new page; returns its number."""
+        """Move the upper half of a page's machines to a new page and return its number."""
         upper_half = sorted(machines)[len(machines) // 2 :]
         number = self._new_page_number()
         self._rewritten[number] = {
@@ -130,7 +140,7 @@
         return number
 
     def _drop_added(self, machines: Machines) -> bool:
-        """Leave half of a page's added machines to a later update; False if it has none."""
+        """Leave half of a page's added machines to a later update; return False if it has none."""
         added = [machine_id for machine_id in self._added if machine_id in machines]
         dropped = set(added[len(added) // 2 :])
         for machine_id in dropped:
@@ -139,7 +149,7 @@
         return bool(dropped)
 
     def _keep_unchanged(self, number: int) -> None:
-        """Leave a page as it is; a later update has room to split it."""
+        """Cancel the rewrite of a page; a later update can split it."""
         del self._rewritten[number]
         page = self._record.pages.get(number)
         if page is not None:
--- a/fallpulley/records/record_update.py
+++ b/fallpulley/records/record_update.py
@@ -1,7 +1,8 @@
-"""How a change of a shard's machines is laid out in values: pure functions.
+"""Computation of the values to write for a change of a shard's machines, without side effects.
 
-Up to some size a shard's machines stand in its record. Beyond it they stand in pages: a change
-then writes the record, whose revision is the fencing token, and the pages that it touches.
+Up to `MAX_SINGLE_VALUE_MACHINES` machines, or as many as fit into one value, a shard's record holds
+its machines. Larger shards store them in pages: a change then writes the record, whose revision is
+the fencing token, and the pages whose machines change.
 """
 
 from __future__ import annotations
@@ -21,7 +22,10 @@
 def update_record(
     shard_id: str, record: ShardRecord, mod_revision: int, change: ShardChange, limits: RecordLimits
 ) -> RecordUpdate:
-    """Lay out as much of a change as one transaction holds; the rest is for a later one."""
+    """Return the values for as much of a change as one transaction holds.
+
+    The rest is left to a later update.
+    """
     if record.pages:
         return PagedUpdate(shard_id, record, mod_revision, change, limits).build()
     if limits.paged and len(record.machines) > MAX_SINGLE_VALUE_MACHINES:
@@ -40,7 +44,7 @@
     }
     added = list(change.add)
     if limits.paged:
-        # One more than a single value is to hold, and the next update lays it out in pages.
+        # At most one machine above the limit, so that the next update lays out the record in pages.
         del added[max(0, MAX_SINGLE_VALUE_MACHINES + 1 - len(machines)) :]
     machines.update((machine_id, change.add[machine_id]) for machine_id in added)
     change.apply_to_entries(machines)
@@ -48,8 +52,8 @@
     if len(value) > limits.value_bytes and limits.paged and record.machines:
         return split_into_pages(shard_id, record, mod_revision, limits)
     while len(value) > limits.value_bytes and added:
-        # A record that no value holds could never be written again: the machines added last are
-        # left to the next list, which grants them to a shard with room.
+        # A record above the size of a value could not be written. The machines added last are left
+        # out; the cloud's next list of machines adds them to a shard that has room.
         for machine_id in added[len(added) // 2 :]:
             machines.pop(machine_id, None)
         del added[len(added) // 2 :]
--- a/fallpulley/records/registry.py
+++ b/fallpulley/records/registry.py
@@ -1,4 +1,4 @@
-"""This controller's copy of the shared records: sessions, leader, shards, machines, teams."""
+"""This controller's local copy of the shared records."""
 
 from __future__ import annotations
 
@@ -41,34 +41,35 @@
 
 
 class Registry:
-    """The newest copy of each record.
+    """The newest known sessions, leader, shards, machines, teams and other shared records.
 
-    A shard whose machines stand in pages is published once its header and all pages that the
-    header names are from one revision.
+    A shard whose machines are stored in pages is published in `shards` once its header and all
+    pages in the versions that the header lists have been received.
     """
 
     def __init__(self) -> None:
-        self.sessions: dict[str, Versioned[Session]] = {}  # by controller
+        self.sessions: dict[str, Versioned[Session]] = {}  # controller -> session
         self.leader: Versioned[Session] | None = None
         self.shards: dict[str, Versioned[ShardRecord]] = {}
-        self.record_bytes: dict[str, int] = {}  # shard -> bytes of its record's value
+        self.record_bytes: dict[str, int] = {}  # shard -> size of its record's value, in bytes
         self.first_format_shards: set[str] = set()  # shards whose records are in the first format
-        self.shard_of_machine: dict[str, str] = {}
-        self.team_shards: dict[str, str] = {}
-        self.release_records: dict[str, str] = {}  # machine to be released -> its record's key
-        self.machines_by_release_record: dict[str, list[str]] = {}  # key -> its machines
-        # Controller -> the newest record format that its process seen last knows.
+        self.shard_of_machine: dict[str, str] = {}  # machine -> shard
+        self.team_shards: dict[str, str] = {}  # team -> its only shard
+        self.release_records: dict[str, str] = {}  # machine -> key of its release record
+        self.machines_by_release_record: dict[str, list[str]] = {}  # key -> machines
+        # Controller -> newest record format that its last seen process can read.
         self.known_formats: dict[str, int] = {}
-        self.record_format = 1  # that records may be written in
+        self.record_format = 1  # newest format that records may be written in
         self.machine_types: dict[str, MachineType] = {}
-        self.lost_sessions: dict[str, int] = {}  # controller -> revision of its last session's end
+        # Controller -> revision at which its last session ended.
+        self.lost_sessions: dict[str, int] = {}
         self._assembly = PageAssembly()
         self._processor_counts = ProcessorCounts()
 
     def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> str | None:
-        """Apply a changed value, None for a deleted key.
+        """Apply the new value of a key; None if the key was deleted.
 
-        Returns the id of the shard whose published record has changed with it, or None.
+        Returns the id of the shard whose published record changed, or None if none did.
         """
         if key.startswith(SHARD_PREFIX):
             return self._on_shard_record(key[len(SHARD_PREFIX) :], value, mod_revision)
@@ -99,7 +100,7 @@
         self.sessions[controller_id] = Versioned(session, mod_revision)
         if self.known_formats.get(controller_id) != session.record_format:
             log.info(
-                "controller format known controller=%s format=%d",
+                "controller published its newest record format controller=%s format=%d",
                 controller_id,
                 session.record_format,
             )
@@ -165,7 +166,10 @@
         return None if page is None else self._publish_assembled(shard_id)
 
     def _publish_assembled(self, shard_id: str) -> str | None:
-        """Publish a shard's pages if they are complete; returns its id if so."""
+        """Publish a shard's record if its pages are complete.
+
+        Returns the shard's id if the record was published, otherwise None.
+        """
         published = self.shards.get(shard_id)
         assembled = self._assembly.assemble(
             shard_id, -1 if published is None else published.mod_revision
@@ -183,7 +187,7 @@
         self.shards[shard_id] = shard
         for machine_id in after if old is None else after - before:
             self.shard_of_machine[machine_id] = shard_id
-        entry_cache.fit(sum(len(record.machines) for record, _ in self.shards.values()))
+        entry_cache.ensure_size(sum(len(record.machines) for record, _ in self.shards.values()))
 
     def _remove_shard(self, shard_id: str) -> None:
         old = self.shards.pop(shard_id, None)
@@ -191,41 +195,41 @@
             self._forget_machines(shard_id, set(old.value.machines))
 
     def _forget_machines(self, shard_id: str, machine_ids: set[str]) -> None:
-        """Machines that have left a shard; one that another shard has got meanwhile stays."""
+        """Remove machines that left a shard, except those that another shard has received since."""
         for machine_id in machine_ids:
             if self.shard_of_machine.get(machine_id) == shard_id:
                 del self.shard_of_machine[machine_id]
 
     def processors(self, shard_id: str) -> float:
-        """Processors of all machines in a shard's record."""
+        """Return the processors of all machines in a shard's record."""
         return sum(self.processors_by_shape(shard_id).values())
 
     def processors_by_shape(self, shard_id: str) -> dict[MachineShape, float]:
-        """Processors of a shard's machines by type, zone and whether they are spot machines."""
+        """Return the processors of a shard's machines by machine type, zone and spot."""
         return self._processor_counts.by_shape(shard_id, self.shards[shard_id], self.machine_types)
 
     def owners(self) -> dict[str, OwnerProcess]:
-        """The process that owns each shard now."""
+        """Return the process that owns each shard, by shard."""
         return {
             shard_id: OwnerProcess(record.owner, record.incarnation)
             for shard_id, (record, _) in self.shards.items()
         }
 
     def owner_of(self, shard_id: str) -> str | None:
-        """The controller that owns a shard; None if there is no such shard."""
+        """Return the controller that owns a shard; None if there is no such shard."""
         entry = self.shards.get(shard_id)
         return None if entry is None else entry.value.owner
 
     def owner_alive(self, record: ShardRecord) -> bool:
-        """The process that owns the shard has a session."""
+        """Return whether the process that owns the shard has a session."""
         session = self.sessions.get(record.owner)
         return session is not None and session.value.incarnation == record.incarnation
 
     def has_ended(self, process: OwnerProcess, controller_id: str, incarnation: str) -> bool:
-        """A process has certainly ended, since its controller has a newer one.
+        """Return whether a process is known to have ended, because its controller has a newer one.
 
-        `controller_id` and `incarnation` are our own. Records come in one order, so a session
-        seen now is the newest.
+        `controller_id` and `incarnation` are those of this process. Changes of records arrive in
+        the order of their revisions, so a session with another incarnation is a newer one.
         """
         session = self.sessions.get(process.controller_id)
         if session is not None and session.value.incarnation != process.incarnation:
@@ -235,9 +239,10 @@
     def previous_owners(
         self, record: ShardRecord, controller_id: str, incarnation: str
     ) -> list[OwnerProcess]:
-        """The previous owners of a shard that is to change owners: those not known to have ended.
+        """Return the previous owners to write when a shard changes owners.
 
-        `controller_id` and `incarnation` are our own.
+        These are its recorded previous owners and its present owner, except those known to have
+        ended. `controller_id` and `incarnation` are those of this process.
         """
         owners = [*record.previous_owners, OwnerProcess(record.owner, record.incarnation)]
         return [
--- a/fallpulley/records/release_records.py
+++ b/fallpulley/records/release_records.py
@@ -1,4 +1,4 @@
-"""Records of machines to be released: written with the change that takes them out of a shard."""
+"""Records of machines to release, written in the transaction that removes them from a shard."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from fallpulley.records.messages import ReleaseRecord
 from fallpulley.state.transactions import Change
 
-# Machines in one record of those to be released, if their ids leave it below a quarter of a
-# value; a release takes a hundred.
+# Maximum number of machines in one release record; one request to the cloud releases up to 100.
 MAX_RELEASED_PER_RECORD = 40
+# Maximum size of a release record, as a fraction of the size that a value may have.
 MAX_RELEASE_RECORD_SHARE = 0.25
-# Changes of one transaction that are not left to release records of the first format.
-FIRST_FORMAT_OTHER_CHANGES = 3
+# In the first format: changes of a transaction reserved for other values than release records.
+FIRST_FORMAT_RESERVED_CHANGES = 3
 
 
-def releasable(machine_ids: Iterable[str], record_format: RecordFormat) -> list[str]:
-    """Those machines that one transaction may both take out of a shard and have released."""
+def select_releasable(machine_ids: Iterable[str], record_format: RecordFormat) -> list[str]:
+    """Return the machines that one transaction can both remove from a shard and release."""
     released = sorted(machine_ids)
     if not record_format.compact:
-        # In the first format each machine to be released has a record of its own.
-        return released[: record_format.txn_ops - FIRST_FORMAT_OTHER_CHANGES]
+        # In the first format each machine to be released needs its own record.
+        return released[: record_format.txn_ops - FIRST_FORMAT_RESERVED_CHANGES]
     released = released[:MAX_RELEASED_PER_RECORD]
     max_bytes = MAX_RELEASE_RECORD_SHARE * record_format.value_bytes
     while len(released) > 1 and len(msgspec.json.encode(ReleaseRecord(released))) > max_bytes:
@@ -33,7 +33,7 @@
 
 
 def release_changes(machine_ids: list[str], record_format: RecordFormat) -> list[Change]:
-    """The records that have machines released."""
+    """Return the changes that write the release records of these machines."""
     if not machine_ids:
         return []
     if not record_format.compact:
--- a/fallpulley/records/shard_change.py
+++ b/fallpulley/records/shard_change.py
@@ -1,4 +1,4 @@
-"""A requested change of a shard's machines, the limits of its values, and the values to write."""
+"""A requested change of a shard's machines, the limits for writing it, and the resulting values."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 
 
 class RecordLimits(msgspec.Struct, frozen=True):
-    """What the values of one transaction may be."""
+    """The allowed formats, sizes and number of the values in one transaction."""
 
-    compact: bool  # in the compact format or a newer one
-    paged: bool  # in the paged format
-    value_bytes: int  # in one value
-    max_changes: int  # in one transaction, the record's own among them
+    compact: bool  # whether the compact format or a newer one may be written
+    paged: bool  # whether the paged format may be written
+    value_bytes: int  # maximum size of one value, in bytes
+    max_changes: int  # maximum number of changed keys, including the record itself
 
 
 class ShardChange(msgspec.Struct):
-    """What is to become of a shard's machines."""
+    """Machines to add to and remove from a shard, and flags and addresses to update."""
 
     add: Machines = {}
     remove: list[str] = []
-    occupancy: dict[str, bool] = {}
-    # From lists and heartbeats, by machine: a new owner fences the machines directly.
+    occupancy: dict[str, bool] = {}  # machine -> whether it may hold tasks
+    # Machine -> address, from the cloud's list and heartbeats. The record keeps the addresses
+    # because a new owner sends its fencing commands directly to the machines.
     addresses: Mapping[str, str] = {}
 
     def apply_to_entries(self, machines: Machines) -> None:
-        """Set occupancy flags and fill in addresses that are not known yet, in place."""
+        """Set occupancy flags and fill in missing addresses, modifying `machines`."""
         for machine_id, entry in machines.items():
             occupied = self.occupancy.get(machine_id, entry.occupied)
             address = entry.address or self.addresses.get(machine_id, "")
@@ -40,15 +41,16 @@
 
 
 class RecordUpdate(msgspec.Struct):
-    """The values to write, the record's own first, and which machines they add and remove."""
+    """The values to write for a shard's record, and which machines they add and remove."""
 
-    changes: list[Change]
+    changes: list[Change]  # the value of `live/block/<shard>` first
     added: list[str]
     removed: list[str]
-    # Nothing that was requested is in these values, but the next update can have some of it.
-    changes_layout: bool = False
+    # The values hold the same machines as before in another layout; the requested changes are
+    # left to the next update.
+    only_changes_layout: bool = False
 
     @property
     def size(self) -> int:
-        """Bytes of all values."""
+        """The total size of all values, in bytes."""
         return sum(len(change.value or b"") for change in self.changes)
--- a/fallpulley/records/shard_record.py
+++ b/fallpulley/records/shard_record.py
@@ -1,4 +1,4 @@
-"""Records of shards in the state service: a shard's owner and its machines."""
+"""The record of a shard in the state service: its owner and its machines."""
 
 from __future__ import annotations
 
@@ -25,43 +25,47 @@
 
 
 class OwnerProcess(msgspec.Struct, frozen=True, array_like=True):
-    """A process of a controller that owned a shard before its owner of today."""
+    """A process of a controller that owns a shard, or owned it earlier."""
 
     controller_id: str
     incarnation: str
 
 
 class MachinePage(msgspec.Struct):
-    """Some of a shard's machines, in a value of their own."""
+    """Some of a shard's machines, stored under a key of their own."""
 
-    # The revision of the shard's record that the page was written on: no two values of one page
-    # have the same, since a transaction conditioned on a revision changes the record.
+    # The revision that the shard's record had before the transaction that wrote the page. No two
+    # values of a page have the same version: the transaction is conditioned on that revision and
+    # changes it.
     version: int
     machines: Machines
 
 
 class ShardRecord(msgspec.Struct):
-    """`live/block/<shard>`: who owns the shard, and its machines.
+    """The owner and the machines of a shard, stored under `live/block/<shard>`.
 
-    The record's revision is the shard's fencing token: every change raises it.
+    The record's revision is the shard's fencing token: every write of the record raises it.
     """
 
     owner: str
     incarnation: str
     machines: Machines
-    # Previous owners that may still answer machines within their windows. Not the last one alone:
-    # an owner cut off with half the machines went on answering them while its successor came
-    # and ended, and that end was taken for its own.
+    # Previous owners that may still respond to machines, until their response windows end. Only
+    # the last one is not enough: an owner that was cut off together with half the machines went
+    # on responding to them while its successor took over and ended, and the successor's end was
+    # mistaken for the end of the owner that was cut off.
     previous_owners: list[OwnerProcess] = []
-    compact: bool = False  # it was read in the compact format or a newer one
-    # Where the machines stand in pages: these, by number.
+    compact: bool = False  # whether it was read in the compact format or a newer one
+    # Pages that hold the machines, by page number; empty if the record itself holds them.
     pages: dict[int, MachinePage] = {}
 
     def encode(self, compact: bool, max_bytes: int) -> bytes:
-        """The record's value; the compact format may be used once every controller reads it.
+        """Return the record's value; only the header if pages hold the machines.
 
-        Where addresses follow no pattern and fill the value, they are left to heartbeats and to
-        the cloud's list: a record that no value holds could not change owners any more.
+        `compact`: whether the compact format may be used, which all controllers must be able to
+        read. In that format all addresses are left out if the value would exceed `max_bytes`:
+        they become known again from heartbeats and the cloud's list, while a record that is too
+        large to be written could not change owners any more.
         """
         if self.pages:
             return self._encode_header()
@@ -88,7 +92,7 @@
         return msgspec.json.encode(stored)
 
     def _encode_header(self) -> bytes:
-        """The pages' versions tell which of their values belong to this record."""
+        """Return the value with the pages' versions, by which a reader finds the matching pages."""
         stored = _StoredShard(
             self.owner,
             self.incarnation,
@@ -110,32 +114,32 @@
         "page_versions": "parts",
     },
 ):
-    """What stands in the value of `live/block/<shard>`, in any format."""
+    """The encoded form of the value of `live/block/<shard>`, in any format."""
 
     owner: str
     incarnation: str
-    grouped_machines: bytes = b""  # in base64; the groups as JSON, compressed
+    grouped_machines: bytes = b""  # first format: output of `pack_groups`, base64 in JSON
     previous_owners: list[OwnerProcess] = []
-    compact_machines: bytes = b""  # likewise, in the compact format: runs
-    page_versions: list[tuple[int, int]] = []  # in the paged format: number, version
+    compact_machines: bytes = b""  # compact format: output of `pack_runs`, base64 in JSON
+    page_versions: list[tuple[int, int]] = []  # paged format: page number, version
 
 
 class _StoredPage(msgspec.Struct, rename={"compact_machines": "runs"}):
-    """What stands in the value of `live/machines/<shard>/<number>`."""
+    """The encoded form of the value of `live/machines/<shard>/<number>`."""
 
     version: int
-    compact_machines: bytes
+    compact_machines: bytes  # output of `pack_runs`, base64 in JSON
 
 
 class ShardHeader(msgspec.Struct):
-    """A shard's value as it was read: a whole record, or one whose machines stand in pages."""
+    """A decoded value of `live/block/<shard>`: a complete record, or one that lists pages."""
 
     record: ShardRecord
-    page_versions: dict[int, int]  # by the pages' numbers; empty for a whole record
+    page_versions: dict[int, int]  # page number -> version; empty for a complete record
 
 
 def decode_shard_header(value: bytes) -> ShardHeader:
-    """Read the value of `live/block/<shard>` in any format.
+    """Decode the value of `live/block/<shard>`, in any format.
 
     Raises `msgspec.MsgspecError` if it is malformed.
     """
@@ -154,7 +158,7 @@
 
 
 def decode_shard(value: bytes) -> ShardRecord:
-    """The record from its value, with those machines that stand in the value itself.
+    """Decode the value of `live/block/<shard>` as a record, without machines that are in pages.
 
     Raises `msgspec.MsgspecError` if it is malformed.
     """
@@ -162,12 +166,12 @@
 
 
 def encode_page(page: MachinePage) -> bytes:
-    """The value of `live/machines/<shard>/<number>`."""
+    """Return the value of `live/machines/<shard>/<number>`."""
     return msgspec.json.encode(_StoredPage(page.version, pack_runs(page.machines)))
 
 
 def decode_page(value: bytes) -> MachinePage:
-    """Read the value of `live/machines/<shard>/<number>`.
+    """Decode the value of `live/machines/<shard>/<number>`.
 
     Raises `msgspec.MsgspecError` if it is malformed.
     """
--- a/fallpulley/records/transactions.py
+++ b/fallpulley/records/transactions.py
@@ -1,4 +1,4 @@
-"""What one transaction changes of a shard's record, and of another's that gets its machines."""
+"""Transactions that change one shard's record, or move machines from one shard to another."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 from fallpulley.records.pending_changes import PendingChanges
 from fallpulley.records.record_update import update_record
 from fallpulley.records.registry import Registry
-from fallpulley.records.release_records import releasable, release_changes
+from fallpulley.records.release_records import release_changes, select_releasable
 from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
 from fallpulley.records.shard_record import MachineEntry, Machines, ShardRecord
 from fallpulley.records.versioned import Versioned
 from fallpulley.state.transactions import MAX_TRANSACTION_BYTES, Change
 
-# Beside a shard's own values: the record of machines to be released.
-RELEASE_CHANGES = 1
-# A record and one page of it: what the smallest transaction holds twice.
-MIN_CHANGES = 2
+# Changes of a transaction reserved for the record of machines to be released.
+RESERVED_RELEASE_CHANGES = 1
+# Changes that any update of a shard may use: its record and one page. The smallest transaction
+# holds both twice, so that it can move machines between two shards.
+MIN_UPDATE_CHANGES = 2
 
 
 class ShardTransaction(NamedTuple):
-    """Changes that are applied together if the keys are still at the expected revisions."""
+    """Changes that are applied atomically if all keys are at their expected revisions."""
 
     changes: list[Change]
     conditions: dict[str, int]  # key -> expected revision
 
 
 class TransactionBuilder:
-    """Lays out pending changes as transactions within the limits of the state service."""
+    """Builds transactions from pending changes, within the limits of the state service."""
 
     def __init__(
         self, context: ControllerContext, registry: Registry, addresses: Mapping[str, str]
@@ -44,15 +45,16 @@
     def build_change(
         self, shard_id: str, shard: Versioned[ShardRecord], pending: PendingChanges
     ) -> ShardTransaction:
-        """Machines that are added or removed, and occupancy flags.
+        """Return a transaction that adds and removes machines and updates occupancy flags.
 
-        In formats without pages, machines for which there is no room are not pending any more.
+        In formats without pages, machines to be added that do not fit into the record are
+        discarded from `pending`.
         """
-        removed = releasable(pending.removing, self._record_format)
+        removed = select_releasable(pending.removing, self._record_format)
         change = ShardChange(pending.adding, removed, pending.occupancy, self._addresses)
         update = self._largest_update(shard_id, shard, change)
         if not self._record_format.paged:
-            # Left to the next list, which grants them to a shard with room.
+            # The cloud's next list of machines adds them to a shard that has room.
             for machine_id in pending.adding.keys() - set(update.added):
                 del pending.adding[machine_id]
         releases = release_changes(update.removed, self._record_format)
@@ -63,10 +65,12 @@
     def build_move(
         self, shard_id: str, shard: Versioned[ShardRecord], pending: PendingChanges
     ) -> ShardTransaction | None:
-        """Move machines to the first shard that is to get any; None if none can be moved now.
+        """Return a transaction that moves machines to one other shard; None if none can move now.
 
-        Both records change at one revision, so both shards' tokens rise above all that came
-        before. Moves that no transaction can hold are not pending any more: the machines stay.
+        The receiving shard is that of the first pending move. Both records are written at the
+        same revision, so both shards' new fencing tokens are higher than all earlier ones. If
+        the transaction would exceed the limits, all moves are discarded from `pending` and the
+        machines stay.
         """
         receiver_id = next(iter(pending.moving.values()), None)
         receiver = self._registry.shards.get(receiver_id) if receiver_id is not None else None
@@ -92,11 +96,11 @@
     def _largest_update(
         self, shard_id: str, shard: Versioned[ShardRecord], change: ShardChange
     ) -> RecordUpdate:
-        """As many values as one transaction can hold by their number and by their bytes."""
-        max_changes = self._record_format.txn_ops - RELEASE_CHANGES
+        """Return an update with as much of the change as one transaction can hold."""
+        max_changes = self._record_format.txn_ops - RESERVED_RELEASE_CHANGES
         update = self._update(shard_id, shard, change, max_changes)
-        while update.size > MAX_TRANSACTION_BYTES and max_changes > MIN_CHANGES:
-            max_changes = max(MIN_CHANGES, max_changes // 2)
+        while update.size > MAX_TRANSACTION_BYTES and max_changes > MIN_UPDATE_CHANGES:
+            max_changes = max(MIN_UPDATE_CHANGES, max_changes // 2)
             update = self._update(shard_id, shard, change, max_changes)
         return update
 
@@ -117,7 +121,7 @@
 
 
 def without_previous_owners(shard: Versioned[ShardRecord]) -> Versioned[ShardRecord]:
-    """The record once its previous owners answer no machine any more."""
+    """Return the record without its previous owners, whose response windows have ended."""
     return Versioned(msgspec.structs.replace(shard.value, previous_owners=[]), shard.mod_revision)
 
 
@@ -134,9 +138,13 @@
 
 
 def _can_commit_together(removed: RecordUpdate, added: RecordUpdate) -> bool:
-    """Both sides move the same machines within one transaction, or one makes room for a move."""
+    """Return whether both updates fit into one transaction and move the same machines.
+
+    They may also move none, if one of them changes its shard's layout to make room for a later
+    move.
+    """
     if set(removed.removed) != set(added.added):
         return False
     if removed.size + added.size > MAX_TRANSACTION_BYTES:
         return False
-    return bool(added.added) or added.changes_layout or removed.changes_layout
+    return bool(added.added) or added.only_changes_layout or removed.only_changes_layout
--- a/fallpulley/records/versioned.py
+++ b/fallpulley/records/versioned.py
@@ -1,4 +1,4 @@
-"""A record together with the revision at which it was written."""
+"""A record together with the revision of its last write."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Versioned(NamedTuple, Generic[T]):
-    """A record's value and its `mod_revision`, on which the next write is conditioned."""
+    """A record and its `mod_revision`, the expected revision of the next conditional write."""
 
     value: T
     mod_revision: int
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -1,4 +1,4 @@
-"""Writes changes of shard records: machines added, removed and moved, and occupancy flags."""
+"""Writing of changes to shard records: machines added, removed and moved, and occupancy flags."""
 
 from __future__ import annotations
 
@@ -25,27 +25,29 @@
 from fallpulley.state.transactions import RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
-# Of a heartbeat interval, the least time between two writes of a shard's record.
+# Minimum time between two writes of a shard's record, as a fraction of the heartbeat interval.
 WRITE_INTERVAL_SHARE = 0.1
-# How long a write's response is awaited before the next one is sent.
+# How long to wait for a write's response before the next write of the same record, in seconds.
 WRITE_TIMEOUT_SECONDS = 3.0
 
 
 class _WriteState(msgspec.Struct):
-    """What is known of our writes of one shard's record."""
+    """The state of this controller's writes of one shard's record."""
 
-    is_unresolved: bool = False  # a write may still be applied
-    visible_from: int = 0  # revision of our last committed write
-    next_write_at: float = 0.0
-    last_moved_machines: bool = False  # the last write moved machines to another shard
+    is_unresolved: bool = False  # whether a write without a response may still be applied
+    last_committed_revision: int = 0  # revision of the last committed write
+    next_write_at: float = 0.0  # earliest time of the next write, by the monotonic clock
+    last_write_was_move: bool = False  # whether the last write moved machines to another shard
 
 
 class ShardWriter:
-    """Collects changes of shard records and repeats them, one write a shard at a time.
+    """Collects requested changes of shard records and writes them until the records contain them.
 
-    A write whose response was lost may still be applied late. It is conditioned on the revision
-    it was decided on, and a change stays pending until the record at a newer revision has it, so
-    nothing is decided on the assumption that a write failed.
+    The next write of a shard waits for the response to the last one, at most
+    `WRITE_TIMEOUT_SECONDS`. A write whose response was lost may still be applied later. It is
+    conditioned on the revision that it was based on, and a change stays pending until the record
+    at a newer revision contains it, so nothing relies on the assumption that a write without a
+    response has failed.
     """
 
     def __init__(self, context: ControllerContext, watch: WatchCache, registry: Registry) -> None:
@@ -55,61 +57,70 @@
         self.addresses: dict[str, str] = {}  # machine -> address, from lists and heartbeats
         self._pending: defaultdict[str, PendingChanges] = defaultdict(PendingChanges)
         self._write_states: defaultdict[str, _WriteState] = defaultdict(_WriteState)
-        # Shards of ours whose previous owners answer no machine any more.
-        self._without_previous_owners: set[str] = set()
+        # Own shards whose previous owners no longer respond to any machine.
+        self._shards_without_previous_owners: set[str] = set()
         self._transactions = TransactionBuilder(context, registry, self.addresses)
 
     # -- requests --------------------------------------------------------------------------------
 
     def add(self, shard_id: str, machine_id: str, entry: MachineEntry) -> None:
-        """Add a machine to a shard, whoever owns it."""
+        """Request to add a machine to a shard; any controller may request it."""
         self._pending[shard_id].adding[machine_id] = entry
 
     def remove(self, shard_id: str, machine_id: str) -> None:
-        """Only the owner may ask, for a machine that it no longer places on."""
+        """Request to remove a machine from a shard.
+
+        Only the owner may request it, once it places no more tasks on the machine.
+        """
         self._pending[shard_id].removing.add(machine_id)
 
     def move(self, shard_id: str, machine_id: str, to: str) -> None:
-        """Only the owner may ask, for an idle machine that it no longer places on."""
+        """Request to move an idle machine to shard `to`.
+
+        Only the owner may request it, once it places no more tasks on the machine.
+        """
         self._pending[shard_id].moving[machine_id] = to
 
     def set_occupied(self, shard_id: str, machine_id: str, occupied: bool) -> None:
-        """Only the owner may ask; in force once `is_occupied` says so."""
+        """Request to write a machine's occupancy flag; only the owner may request it.
+
+        Tasks may be started on the machine only once `is_occupied` returns true.
+        """
         self._pending[shard_id].occupancy[machine_id] = occupied
 
     def request_new_revision(self, shard_id: str) -> None:
-        """Write the shard's record, changed or not; only the owner may ask."""
+        """Request to write the shard's record even if unchanged; only the owner may request it."""
         self._pending[shard_id].needs_new_revision = True
 
     def drop_previous_owners(self, shard_id: str) -> None:
-        """From the next write on, leave previous owners out: they answer no machine any more."""
-        self._without_previous_owners.add(shard_id)
+        """Omit the previous owners from the next write on: their response windows have ended."""
+        self._shards_without_previous_owners.add(shard_id)
 
     def forget_shard(self, shard_id: str) -> None:
-        """The shard is no longer ours."""
+        """Discard the requests that only an owner may make, because the shard has another owner."""
         self._pending[shard_id].clear_owners_requests()
-        self._without_previous_owners.discard(shard_id)
+        self._shards_without_previous_owners.discard(shard_id)
 
-    # -- what is pending ---------------------------------------------------------------------------
+    # -- pending requests --------------------------------------------------------------------------
 
     def machines_being_added(self, shard_id: str) -> Mapping[str, MachineEntry]:
-        """Machines that are not in the shard's record yet."""
+        """Return the machines to be added that are not in the shard's record yet."""
         return self._pending[shard_id].adding
 
     def is_being_added(self, machine_id: str) -> bool:
-        """A machine is to be added to any shard."""
+        """Return whether the machine is to be added to any shard."""
         return any(machine_id in pending.adding for pending in self._pending.values())
 
     def has_moves(self, shard_id: str) -> bool:
-        """Machines of the shard are to be moved to others."""
+        """Return whether machines of the shard are to be moved to other shards."""
         return bool(self._pending[shard_id].moving)
 
     def pending_occupancy(self, shard_id: str) -> Mapping[str, bool]:
-        """Occupancy flags by machine that are not certain to be in the record yet."""
+        """Return requested occupancy flags, by machine, that may not be in the record yet."""
         return self._pending[shard_id].occupancy
 
     def is_occupied(self, shard_id: str, machine_id: str) -> bool:
-        """The record says that the machine may hold tasks, and no write takes that back."""
+        """Return whether the record flags the machine as occupied and no change is pending."""
         shard = self.registry.shards.get(shard_id)
         if shard is None or machine_id in self._pending[shard_id].occupancy:
             return False
@@ -117,7 +128,7 @@
         return machine is not None and machine.occupied
 
     def is_leaving(self, shard_id: str, machine_id: str) -> bool:
-        """The machine is to leave the shard, or a write may still move it."""
+        """Return whether the machine is to leave the shard, or a write may still remove it."""
         pending = self._pending[shard_id]
         return (
             machine_id in pending.removing
@@ -126,19 +137,19 @@
         )
 
     def has_room(self, shard_id: str) -> bool:
-        """The shard's record can hold one machine more."""
+        """Return whether the shard's record has room for one more machine."""
         record_format = self.context.record_format
         if record_format.paged:
             return not self._header_is_full(shard_id)
         if record_format.compact and shard_id in self.registry.first_format_shards:
-            return True  # it shrinks with its next change
+            return True  # its next write uses the compact format and needs less space
         entry_bytes = COMPACT_ENTRY_BYTES if record_format.compact else FIRST_FORMAT_ENTRY_BYTES
         added = len(self._pending[shard_id].adding) + 1
         filled = self.registry.record_bytes.get(shard_id, 0)
         return filled + added * entry_bytes <= record_format.value_bytes
 
     def _header_is_full(self, shard_id: str) -> bool:
-        """Its machines stand in so many pages that the list of them fills the record."""
+        """Return whether the shard has so many pages that their list nearly fills its record."""
         shard = self.registry.shards.get(shard_id)
         filled = self.registry.record_bytes.get(shard_id, 0)
         full_bytes = FULL_RECORD_SHARE * self.context.record_format.value_bytes
@@ -147,7 +158,7 @@
     # -- writing -----------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Write what is pending, as far as no earlier write has to be awaited."""
+        """Write pending changes of all shards that need not wait for an earlier write."""
         shard_ids = {
             shard_id for shard_id, pending in self._pending.items() if not pending.is_empty
         }
@@ -159,8 +170,8 @@
             if shard is None:
                 self._pending[shard_id].clear()
                 continue
-            if shard.mod_revision < state.visible_from:
-                continue  # our last write is in the record, but not yet in our copy
+            if shard.mod_revision < state.last_committed_revision:
+                continue  # the local copy does not contain the last committed write yet
             self._write(shard_id, shard, state)
 
     def _write(self, shard_id: str, shard: Versioned[ShardRecord], state: _WriteState) -> None:
@@ -169,12 +180,12 @@
             del pending.adding[machine_id]
         pending.discard_absent(shard.value)
         if not state.is_unresolved:
-            # While a write may still be applied late, a flag that the record seems to have
-            # already stays pending: that write could take it back.
+            # While an earlier write may still be applied, a flag that the record already has stays
+            # pending: that write could change it back.
             pending.discard_recorded_occupancy(shard.value)
         if pending.is_empty:
             return
-        if shard_id in self._without_previous_owners:
+        if shard_id in self._shards_without_previous_owners:
             shard = without_previous_owners(shard)
         transaction = self._next_transaction(shard_id, shard, pending, state)
         if transaction is not None:
@@ -187,14 +198,17 @@
         pending: PendingChanges,
         state: _WriteState,
     ) -> ShardTransaction | None:
-        """Moves and other changes take turns where both are pending."""
+        """Return the next transaction, or None if none can be built now.
+
+        If both moves and other changes are pending, they alternate.
+        """
         transaction = None
-        if pending.moving and (pending.only_moves or not state.last_moved_machines):
+        if pending.moving and (pending.has_only_moves or not state.last_write_was_move):
             transaction = self._transactions.build_move(shard_id, shard, pending)
         if transaction is not None:
-            state.last_moved_machines = True
-        elif not pending.only_moves:
-            state.last_moved_machines = False
+            state.last_write_was_move = True
+        elif not pending.has_only_moves:
+            state.last_write_was_move = False
             transaction = self._transactions.build_change(shard_id, shard, pending)
         return transaction
 
@@ -205,13 +219,13 @@
             if result.unknown:
                 state.is_unresolved = True
             elif result.committed:
-                # A conflict resolves nothing: it may be our own late write that was applied, and
-                # our copy of the record may be from before it.
+                # After a conflict, `is_unresolved` stays: the conflict may have been caused by an
+                # earlier own write that the local copy of the record does not contain yet.
                 state.is_unresolved = False
-                state.visible_from = result.revision
+                state.last_committed_revision = result.revision
                 self._pending[shard_id].needs_new_revision = False
-            # What is requested within a part of a heartbeat interval goes out together: a record
-            # of hundreds of machines is read by every controller at each change.
+            # Requests of a fraction of a heartbeat interval are written together, because every
+            # controller decodes a record of hundreds of machines at each of its changes.
             state.next_write_at = (
                 self.context.now + WRITE_INTERVAL_SHARE * self.context.timing.heartbeat_interval_s
             )
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -122,7 +122,7 @@
     stored.limits = RecordLimits(True, True, 16_000, 16)
     update = stored.update(ShardChange(fleet(9000, 5)))
     assert (
-        update.changes_layout
+        update.only_changes_layout
         and len(stored.record.pages) == 2 * MAX_SINGLE_VALUE_MACHINES // MAX_PAGE_MACHINES
     )
     stored.add_all(fleet(9000, 5))
@@ -139,7 +139,7 @@
     while len(stored.record.machines) > MAX_MERGED_MACHINES // 2:
         left = [machine_id for machine_id in machine_ids if machine_id in stored.record.machines]
         update = stored.update(ShardChange(remove=left[MAX_MERGED_MACHINES // 2 :]))
-        assert update.removed or update.changes_layout
+        assert update.removed or update.only_changes_layout
     stored.update(ShardChange())
     assert (
         not stored.record.pages
@@ -220,7 +220,7 @@
 def test_entries_of_a_fleet_above_the_caches_minimum_size_are_kept() -> None:
     """Read over in the same order, a cache of fixed size held none of a fleet just above it."""
     cache = EntryCache(100)
-    cache.fit(150)
+    cache.ensure_size(150)
     traits = ("box", "a", False, False)
     first = [cache.get("vm-", 6, n, n, 9, traits) for n in range(150)]
     again = [cache.get("vm-", 6, n, n, 9, traits) for n in range(150)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 
 from fallpulley.effects import RESPONSE_TOO_LONG, Response
 from fallpulley.mesh.task_counts import TaskCountRotation
-from fallpulley.records.release_records import releasable, release_changes
+from fallpulley.records.release_records import release_changes, select_releasable
 from fallpulley.shard_sizes import machines_per_shard
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.fencing import Fencing
@@ -263,6 +263,6 @@
     world.run(5.0)
     record_format = world.controllers[world.holder()].parts.context.record_format
     hosts = {f"{number:0190}" for number in range(100)}
-    out = releasable(hosts, record_format)
+    out = select_releasable(hosts, record_format)
     (change,) = release_changes(out, record_format)
     assert out and set(out) < hosts and len(change.value or b"") < 0.5 * 2048
