--- a/fallpulley/mesh/__init__.py
+++ b/fallpulley/mesh/__init__.py
@@ -0,0 +1,1 @@
+"""Messages between controllers: heartbeats with task counts, and cancellations of jobs."""
--- a/fallpulley/mesh/messages.py
+++ b/fallpulley/mesh/messages.py
@@ -1,4 +1,7 @@
-"""Messages between controllers: sent about once a second, never needed for safety."""
+"""Messages between controllers.
+
+Heartbeats are sent about once a second. Safety never depends on the delivery of a message.
+"""
 
 from __future__ import annotations
 
@@ -6,12 +9,12 @@
 
 import msgspec
 
-# Peers accept messages as POST requests to this path of their mesh address.
+# The path at which peers accept messages, as POST requests to their mesh address.
 PEER_MESSAGES_PATH = "/beat"
 
 
 class TaskCount(NamedTuple):
-    """How many tasks of a job are completed and running; an array on the wire."""
+    """How many tasks of a job are completed and running; encoded as an array."""
 
     job_id: str
     completed: int
@@ -19,7 +22,7 @@
 
 
 class MachineRequest(msgspec.Struct, array_like=True):
-    """Machines that a shard's owner asks the leader for."""
+    """Machines of one kind that a shard's owner requests from the leader."""
 
     shard_id: str
     machine_type: str
@@ -29,20 +32,23 @@
 
 
 class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
-    """Shows that a controller is live, how fresh its watch cache is, and its jobs' progress."""
+    """A controller's sign of life, with the age of its watch cache and its jobs' task counts."""
 
     controller_id: str
     incarnation: str
-    sent_at: float  # wall time, in seconds since the epoch: a message may be delivered late
-    staleness_s: float  # the age of the sender's last successful watch
-    task_counts: list[TaskCount]  # for display
+    sent_at: float  # wall time in seconds since the epoch, to detect late delivery
+    staleness_s: float  # age of the sender's last successful watch or read, in seconds
+    task_counts: list[TaskCount]  # only for display to users
     machine_requests: list[MachineRequest]
-    target_sizes: dict[str, int] = {}  # from the leader: shard_id -> machines it should have
+    target_sizes: dict[str, int] = {}  # from the leader: shard -> number of machines to have
 
 
 class Cancellations(msgspec.Struct, tag="called_off", array_like=True):
-    """Jobs whose cancellation is durable, sent to their shard's owner at once: one that cannot
-    read the records stops them before its response window ends."""
+    """Jobs whose cancellation is durable, sent immediately to the owner of their shard.
+
+    Without the message, an owner that cannot read the records would go on running the jobs until
+    its response window ends.
+    """
 
     job_ids: list[str]
 
@@ -50,8 +56,8 @@
 PeerMessageBody = PeerHeartbeat | Cancellations
 
 
-def decode(body: bytes) -> PeerMessageBody | None:
-    """The message; None if it is malformed or of a kind that this version does not know."""
+def decode_peer_message(body: bytes) -> PeerMessageBody | None:
+    """Decode a message; None if it is malformed or of a type that this version does not know."""
     try:
         return msgspec.json.decode(body, type=PeerMessageBody)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -1,4 +1,4 @@
-"""Messages to and from the other controllers, and what their heartbeats say about them."""
+"""Exchange of messages with the other controllers, and liveness derived from their heartbeats."""
 
 from __future__ import annotations
 
@@ -15,41 +15,44 @@
     PeerHeartbeat,
     PeerMessageBody,
     TaskCount,
-    decode,
+    decode_peer_message,
 )
 
+# Interval between two heartbeats to the peers, and timeout of a message.
 HEARTBEAT_SECONDS = 1.0
-# A peer whose last heartbeat is older than this says nothing about the present.
-RECENT_HEARTBEATS = 3.5
-RECENT_SECONDS = RECENT_HEARTBEATS * HEARTBEAT_SECONDS
-# Our watch cache is stale when it was not refreshed for so many heartbeats while a peer's was.
-STALE_HEARTBEATS = 3.0
-STALE_SECONDS = STALE_HEARTBEATS * HEARTBEAT_SECONDS
-# What a controller that never read the records sends as its staleness.
+# Maximum age of a peer's last heartbeat for the peer to count as live, in heartbeat intervals.
+RECENT_HEARTBEAT_INTERVALS = 3.5
+RECENT_SECONDS = RECENT_HEARTBEAT_INTERVALS * HEARTBEAT_SECONDS
+# This controller's watch cache is stale if a peer's was refreshed later by more than this, in
+# heartbeat intervals.
+STALE_HEARTBEAT_INTERVALS = 3.0
+STALE_SECONDS = STALE_HEARTBEAT_INTERVALS * HEARTBEAT_SECONDS
+# Upper limit of the staleness in a heartbeat, in seconds; a controller that has never read the
+# records sends it.
 MAX_STALENESS_SECONDS = 1e6
-# Jobs in one message about cancellations.
+# Maximum number of jobs in one message about cancellations.
 MAX_CANCELLATIONS = 1000
 
 
 class ReceivedHeartbeat(NamedTuple):
-    """A peer's last heartbeat and when it arrived, by this controller's monotonic clock."""
+    """A heartbeat and its time of arrival by this controller's monotonic clock, in seconds."""
 
     heartbeat: PeerHeartbeat
     received_at: float
 
 
 class Peers:
-    """The other controllers, as this one hears from them."""
+    """Sends messages to the other controllers and keeps the last heartbeat of each."""
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        self.last_heartbeats: dict[str, ReceivedHeartbeat] = {}  # by controller_id
+        self.last_heartbeats: dict[str, ReceivedHeartbeat] = {}  # controller -> heartbeat
         self._next_heartbeat_at = float("-inf")
 
     # -- sending ---------------------------------------------------------------------------
 
     def is_heartbeat_due(self) -> bool:
-        """It is time for this controller's next heartbeat."""
+        """Return whether it is time for this controller's next heartbeat."""
         return self.context.now >= self._next_heartbeat_at
 
     def send_heartbeat(
@@ -75,13 +78,13 @@
             self._post(peer.address, body)
 
     def send_cancellations(self, controller_id: str, job_ids: list[str]) -> None:
-        """Notify a shard's owner of cancelled jobs; losing the message does no harm."""
+        """Notify a shard's owner of cancelled jobs; a lost message does no harm."""
         for start in range(0, len(job_ids), MAX_CANCELLATIONS):
             message = Cancellations(job_ids[start : start + MAX_CANCELLATIONS])
             self.send(controller_id, msgspec.json.encode(message))
 
     def send(self, controller_id: str, body: bytes) -> None:
-        """Send an encoded message to one peer; whether it arrives is not known."""
+        """Send an encoded message to one peer, without waiting for a response."""
         for peer in self.context.settings.peers:
             if peer.controller_id == controller_id:
                 self._post(peer.address, body)
@@ -94,15 +97,16 @@
     # -- receiving -------------------------------------------------------------------------
 
     def receive(self, body: bytes) -> PeerMessageBody | None:
-        """Decode a message and record a heartbeat.
+        """Decode a message, and store it if it is a heartbeat.
 
-        None for a malformed message, and for a heartbeat that is a late copy or older than the
-        last: a controller that is cut off must not seem live because an old one arrives.
+        Returns None if the message is malformed, or if it is a heartbeat that arrives too late
+        or is not newer than the last one of its sender: a controller that is cut off must not
+        seem live because an old heartbeat arrives.
         """
-        message = decode(body)
+        message = decode_peer_message(body)
         if not isinstance(message, PeerHeartbeat):
             return message
-        if self._is_late(message):
+        if self._is_too_old(message):
             return None
         last = self.last_heartbeats.get(message.controller_id)
         if last is not None and message.sent_at <= last.heartbeat.sent_at:
@@ -110,27 +114,32 @@
         self.last_heartbeats[message.controller_id] = ReceivedHeartbeat(message, self.context.now)
         return message
 
-    def _is_late(self, heartbeat: PeerHeartbeat) -> bool:
-        """Sent too long ago, even if both controllers' clocks are wrong by the allowed skew."""
+    def _is_too_old(self, heartbeat: PeerHeartbeat) -> bool:
+        """Return whether a heartbeat was sent too long ago.
+
+        Both controllers' clocks may be wrong by the allowed skew, in opposite directions.
+        """
         skew_s = 2 * self.context.settings.facts.skew_ms / 1000
         return self.context.wall_time - heartbeat.sent_at > RECENT_SECONDS + skew_s
 
     # -- liveness --------------------------------------------------------------------------
 
     def is_recent(self, controller_id: str) -> bool:
-        """The peer's last heartbeat is recent: it is live and can be reached."""
+        """Return whether the peer's last heartbeat is recent, so it is live and reachable."""
         last = self.last_heartbeats.get(controller_id)
         return last is not None and self.context.now - last.received_at < RECENT_SECONDS
 
     def has_no_live_peer(self) -> bool:
-        """No peer's last heartbeat is recent."""
+        """Return whether no peer counts as live."""
         return not any(self.is_recent(controller_id) for controller_id in self.last_heartbeats)
 
     def is_stale(self, fresh_at: float) -> bool:
-        """A peer reached the state service clearly after this controller last did, at `fresh_at`.
+        """Return whether a live peer reached the state service clearly later than this controller.
 
-        A heartbeat's age counts: in an outage of the service everybody's last watch is as old as
-        ours, whatever a heartbeat of some seconds ago said.
+        `fresh_at`: when this controller last reached it, by the monotonic clock. A peer's
+        staleness is subtracted from the time at which its heartbeat arrived, not from now: in an
+        outage of the service all controllers' last watches are equally old, and a heartbeat from
+        before the outage must not make its sender's seem newer.
         """
         stale_before = fresh_at + STALE_SECONDS
         return any(
--- a/fallpulley/persistence/__init__.py
+++ b/fallpulley/persistence/__init__.py
@@ -1,1 +1,1 @@
-"""Makes durable what owned shards know of their jobs, and reads it again after a failover."""
+"""Writing of the completions and progress of owned shards' jobs, and loading after a failover."""
--- a/fallpulley/persistence/job_persistence.py
+++ b/fallpulley/persistence/job_persistence.py
@@ -1,4 +1,4 @@
-"""Makes durable what the machines of owned shards report: completed tasks, and ends of jobs."""
+"""Durable writes of the completed tasks, completions and cancellations of owned shards' jobs."""
 
 from __future__ import annotations
 
@@ -26,13 +26,14 @@
 
 log = logging.getLogger(__name__)
 
-# Completed tasks wait this many heartbeat intervals before their progress is written: most jobs
-# end sooner, and their last record alone says it all.
-PROGRESS_DELAY_HEARTBEATS = 4.0
-# No more progress is written while so many changes of its priority are queued.
+# Delay between a task's completion and the write of its job's progress, in heartbeat intervals.
+# Most jobs finish sooner; their final record makes a progress write unnecessary.
+PROGRESS_DELAY_HEARTBEAT_INTERVALS = 4.0
+# No further progress is queued while this many changes of its priority are waiting to be sent.
 MAX_QUEUED_CHANGES = 4
-# Chunks of a job that are written at a time.
+# Maximum number of chunks of one job's progress that are written at a time.
 MAX_CHUNKS_AT_ONCE = 4
+# Delay before the final write of a job is repeated, in seconds.
 COMPLETION_RETRY_SECONDS = 0.3
 
 
@@ -41,16 +42,16 @@
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        self.first_format_chunk_tasks = chunk_tasks(context.settings.facts.state.value_kb)
-        self.chunk_tasks = chunk_tasks(context.record_format.strictest_limits.value_kb)
-        self._loader = ProgressLoader(context, self.first_format_chunk_tasks)
-        self._cancellations_pending: set[str] = set()  # jobs whose record is being written
+        self.first_format_tasks_per_chunk = chunk_tasks(context.settings.facts.state.value_kb)
+        self.tasks_per_chunk = chunk_tasks(context.record_format.strictest_limits.value_kb)
+        self._loader = ProgressLoader(context, self.first_format_tasks_per_chunk)
+        self._cancellations_pending: set[str] = set()  # jobs whose cancellation is being written
 
     def tick(self, shard: Shard, cancelled_with_dependencies: dict[str, JobEntry]) -> None:
-        """Write what is due for an owned shard.
+        """Queue the writes that are due for an owned shard, or load its progress first.
 
-        `cancelled_with_dependencies`: jobs of the shard that are cancelled because one that they
-        depend on is; their own records follow.
+        `cancelled_with_dependencies`: jobs of the shard that are cancelled because a job that
+        they depend on is cancelled, and whose own records do not say so yet.
         """
         for job_id, entry in cancelled_with_dependencies.items():
             if not self._may_queue_progress():
@@ -60,7 +61,7 @@
             self._loader.load(shard)
             return
         now = self.context.now
-        delay_s = PROGRESS_DELAY_HEARTBEATS * self.context.timing.heartbeat_interval_s
+        delay_s = PROGRESS_DELAY_HEARTBEAT_INTERVALS * self.context.timing.heartbeat_interval_s
         for job in shard.jobs.values():
             if job.cancelled:
                 continue
@@ -79,7 +80,7 @@
         queued = self.context.state_client.queued_changes(RequestPriority.PROGRESS)
         return queued < MAX_QUEUED_CHANGES
 
-    # -- ends of jobs ----------------------------------------------------------------------
+    # -- completions and cancellations -----------------------------------------------------
 
     def _write_dependent_cancellation(self, job_id: str, entry: JobEntry) -> None:
         if job_id in self._cancellations_pending:
@@ -94,12 +95,15 @@
         write_progress(self.context, key, entry.mod_revision, value, on_result)
 
     def _write_completion(self, shard: Shard, job: OpenJob) -> None:
-        """Every task is completed: the record says so before any response does."""
+        """Write the final record of a job whose tasks are all completed.
+
+        No response reports the job as done before this record is durable.
+        """
         job.final_write_pending = True
         key = JOB_PREFIX + job.job_id
         changes = [Change(key, self._completed_record(job.record))]
         conditions = {key: job.mod_revision}
-        # As many progress values as the transaction holds; what is left of them harms nothing.
+        # Delete as many progress values as the transaction can hold; those that remain do no harm.
         max_values = self.context.record_format.txn_ops - 1
         for name, mod_revision in list(job.progress.revisions.items())[:max_values]:
             chunk_key = progress_key(job.job_id, name)
@@ -108,7 +112,10 @@
 
         def on_result(result: WriteResult) -> None:
             log.info(
-                "job done job=%s status=%s token=%d", job.job_id, result.status, shard.fencing_token
+                "write of job completion ended job=%s status=%s token=%d",
+                job.job_id,
+                result.status,
+                shard.fencing_token,
             )
             self._on_completion_result(job, result)
 
@@ -127,10 +134,11 @@
 
     def _on_completion_result(self, job: OpenJob, result: WriteResult) -> None:
         if result.conflicted and job.progress.revisions:
-            # A late progress write got in between: leave the values, the end counts.
+            # A late progress write may have changed a value. Leave the progress values in place, so
+            # that the next attempt is conditioned on the job's record alone.
             job.progress.revisions.clear()
         if not result.committed:
-            # The watch brings the record if the write got through after all.
+            # If the write was applied after all, the watch delivers the new record.
             job.retry.not_before = self.context.now + COMPLETION_RETRY_SECONDS
             job.final_write_pending = False
 
@@ -138,23 +146,25 @@
 
     def _write_progress(self, job: OpenJob) -> None:
         compact = self.context.record_format.compact
-        tasks = self.chunk_tasks if compact else self.first_format_chunk_tasks
+        tasks_per_chunk = self.tasks_per_chunk if compact else self.first_format_tasks_per_chunk
         job.progress.unsaved_since = None
-        for number in job.progress.unsaved_chunks(tasks)[:MAX_CHUNKS_AT_ONCE]:
-            self._write_chunk(job, number, tasks, chunk_name(number, tasks, compact))
+        for number in job.progress.unsaved_chunks(tasks_per_chunk)[:MAX_CHUNKS_AT_ONCE]:
+            self._write_chunk(
+                job, number, tasks_per_chunk, chunk_name(number, tasks_per_chunk, compact)
+            )
 
-    def _write_chunk(self, job: OpenJob, number: int, tasks: int, name: str) -> None:
+    def _write_chunk(self, job: OpenJob, number: int, tasks_per_chunk: int, name: str) -> None:
         progress = job.progress
         progress.write_pending = True
         key = progress_key(job.job_id, name)
-        content = progress.completed.chunk(number, tasks)
+        content = progress.completed.chunk(number, tasks_per_chunk)
         value = msgspec.json.encode(Progress(base64.b64encode(content).decode()))
 
         def on_result(result: WriteResult) -> None:
             progress.write_pending = False
             if result.committed:
                 progress.revisions[name] = result.revision
-                progress.durable.replace_chunk(number, tasks, content)
+                progress.durable.replace_chunk(number, tasks_per_chunk, content)
                 return
             if progress.unsaved_since is None:
                 progress.unsaved_since = self.context.now
@@ -164,7 +174,7 @@
         write_progress(self.context, key, progress.revisions.get(name, 0), value, on_result)
 
     def _reload_chunk(self, job: OpenJob, name: str) -> None:
-        """Somebody's write, perhaps our own late one, changed the value: merge it."""
+        """Read and merge a stored chunk that another write, perhaps a late own one, has changed."""
         progress = job.progress
         progress.write_pending = True
 
@@ -178,7 +188,7 @@
                 except msgspec.MsgspecError:
                     return
                 progress.merge_stored_chunk(
-                    name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision
+                    name, self.first_format_tasks_per_chunk, item.value.bits, item.mod_revision
                 )
 
         self.context.state_client.request(
--- a/fallpulley/persistence/progress_loading.py
+++ b/fallpulley/persistence/progress_loading.py
@@ -1,4 +1,4 @@
-"""Reads the progress of a shard's jobs after a failover."""
+"""Loading of the stored progress of a shard's jobs after a failover."""
 
 from __future__ import annotations
 
@@ -21,22 +21,25 @@
 
 log = logging.getLogger(__name__)
 
-PAGE_SIZE = 400
+PAGE_SIZE = 400  # maximum number of progress values requested at a time
 PAGE_TIMEOUT_SECONDS = 5.0
 
 
 class ProgressLoader:
-    """Merges all stored progress values into the jobs of an acquired shard, page by page."""
+    """Loads stored progress values page by page and merges them into an acquired shard's jobs."""
 
-    def __init__(self, context: ControllerContext, first_format_chunk_tasks: int) -> None:
-        """`first_format_chunk_tasks`: how many tasks a chunk of the first record format holds."""
+    def __init__(self, context: ControllerContext, first_format_tasks_per_chunk: int) -> None:
+        """`first_format_tasks_per_chunk`: tasks in a progress chunk of the first record format."""
         self.context = context
-        self.first_format_chunk_tasks = first_format_chunk_tasks
-        # By identity: a shard that was lost and acquired anew meanwhile is loaded for itself.
+        self.first_format_tasks_per_chunk = first_format_tasks_per_chunk
+        # Compared by identity: a shard that is lost and acquired again meanwhile is loaded again.
         self._loading: set[Shard] = set()
 
     def load(self, shard: Shard) -> None:
-        """Begin to read the progress, unless it is being read; sets `shard.progress_loaded`."""
+        """Start loading a shard's progress, unless it is being loaded already.
+
+        Sets `shard.progress_loaded` when all of it has been merged.
+        """
         if shard in self._loading:
             return
         self._loading.add(shard)
@@ -50,7 +53,7 @@
         def on_response(response: Response) -> None:
             page = _decode_page(shard, response)
             if page is None:
-                self._loading.discard(shard)  # begun anew by the next call
+                self._loading.discard(shard)  # the next call starts again from the first page
                 return
             for item in page.items:
                 self._merge(shard, item)
@@ -68,7 +71,7 @@
         job = shard.jobs.get(job_id)
         if job is not None and JOB_ID.fullmatch(job_id) and is_chunk_name(chunk_name):
             job.progress.merge_stored_chunk(
-                chunk_name, self.first_format_chunk_tasks, item.value.bits, item.mod_revision
+                chunk_name, self.first_format_tasks_per_chunk, item.value.bits, item.mod_revision
             )
 
     def _on_loaded(self, shard: Shard) -> None:
@@ -79,11 +82,11 @@
 
 
 def _decode_page(shard: Shard, response: Response) -> ProgressPage | None:
-    """The page; None if there is none or it is malformed."""
+    """Return the page in a response; None if the request failed or the page is malformed."""
     if not response.ok:
         return None
     try:
         return msgspec.json.decode(response.body, type=ProgressPage)
     except msgspec.MsgspecError:
-        log.error("progress page malformed shard=%s", shard.shard_id)
+        log.error("malformed page of stored progress, loading again shard=%s", shard.shard_id)
         return None
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -64,9 +64,11 @@
         elif key.startswith("live/session/"):
             assert msgspec.json.decode(body, type=Session).record_format == 1
     for heartbeat in DATA["beats"]:
-        assert isinstance(mesh.decode(json.dumps(heartbeat).encode()), mesh.PeerHeartbeat)
+        assert isinstance(
+            mesh.decode_peer_message(json.dumps(heartbeat).encode()), mesh.PeerHeartbeat
+        )
     # One of a version to come is no message to us, and no failure.
-    assert mesh.decode(b'["unheard_of",1,{}]') is None
+    assert mesh.decode_peer_message(b'["unheard_of",1,{}]') is None
 
 
 def test_work_that_the_version_in_production_left_behind_is_taken_up_and_ended() -> None:
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -238,8 +238,8 @@
     "intent": read_and_written(duties.Intent),
     "share table": read_and_written(shares.ShareTable),
     # Between controllers.
-    "heartbeat": one_of(mesh.PeerHeartbeat, mesh.decode),
-    "called off": one_of(mesh.Cancellations, mesh.decode),
+    "heartbeat": one_of(mesh.PeerHeartbeat, mesh.decode_peer_message),
+    "called off": one_of(mesh.Cancellations, mesh.decode_peer_message),
     "log batch": Kind(standby.LogBatch, standby.decode, standby.encode),
     "snapshot part": Kind(standby.SnapshotPart, standby.decode, standby.encode),
     "acknowledgement": Kind(standby.Acknowledgement, standby.decode, standby.encode),
