--- a/fallpulley/workers/__init__.py
+++ b/fallpulley/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Machines and their workers: the messages they exchange, and what an owner knows of them."""
+"""The messages exchanged with workers, and the state that a shard's owner keeps of machines."""
--- a/fallpulley/workers/heartbeat_changes.py
+++ b/fallpulley/workers/heartbeat_changes.py
@@ -1,4 +1,4 @@
-"""Applies a newer state of a machine, and says what has changed in its tasks."""
+"""Applies a newer reported state of a machine and collects the changes in its tasks."""
 
 from __future__ import annotations
 
@@ -9,37 +9,38 @@
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import Heartbeat, TaskState, TaskStatus
 
-# Read for every task or job: a member of an enum takes ten times as long to look up.
+# Bound to module names because they are read for every reported task: looking up an enum member
+# takes ten times as long.
 _EXITED = TaskState.EXITED
 _RUNNING = TaskState.RUNNING
 _SAVING = TaskState.SAVING
 
-# States of a task that is past its image fetch.
-STARTED: Final = (_RUNNING, _SAVING)
+# States of a task whose image fetch has completed.
+STARTED_STATES: Final = (_RUNNING, _SAVING)
 
 
 class ExitedTask(NamedTuple):
-    """A task that has exited, and our attempt of it, if it was ours."""
+    """A task that has exited, and the run it belongs to; None if this owner knows no such run."""
 
     run: TaskRun | None
     status: TaskStatus
 
 
 class HeartbeatChanges(msgspec.Struct):
-    """What has changed in a machine's tasks, for its shard to act on."""
+    """The changes in a machine's tasks that its shard has to act on."""
 
-    vanished: list[TaskRun] = []  # runs that are not on the machine any more, or never were
-    start_missed: bool = False  # a start of ours did not take effect
+    vanished: list[TaskRun] = []  # runs that the machine no longer has, or never had
+    start_missed: bool = False  # a start command of this owner did not take effect
     exited: list[ExitedTask] = []
-    started: list[TaskRun] = []  # runs that are past their image fetch now
-    unknown_tasks: list[TaskStatus] = []  # on the machine, but not runs of ours
+    started: list[TaskRun] = []  # runs whose image fetch has completed since the last state
+    unknown_tasks: list[TaskStatus] = []  # tasks on the machine that match no known run
 
 
 def apply_heartbeat(machine: Machine, heartbeat: Heartbeat, now: float) -> HeartbeatChanges:
-    """Bring the machine up to a newer heartbeat.
+    """Update the machine from a newer heartbeat and return the changes.
 
-    Only a heartbeat that leaves a run out shows that the run is not there: the response to a direct
-    command can overtake the response to a heartbeat that carries the start.
+    Only a heartbeat can show that a run is missing from the machine. The response to a direct
+    command cannot: it may overtake the heartbeat response that carries the run's start command.
     """
     changes = apply_direct_status(machine, heartbeat, now)
     _drop_unreported_runs(machine, changes)
@@ -48,7 +49,7 @@
 
 
 def apply_direct_status(machine: Machine, status: Heartbeat, now: float) -> HeartbeatChanges:
-    """Bring the machine up to a newer state from the response to a direct command."""
+    """Update the machine from the response to a direct command and return the changes."""
     changes = HeartbeatChanges([], False, [], [], [])
     if status.agent_epoch != machine.heartbeat.agent_epoch:
         _begin_epoch(machine, changes)
@@ -65,13 +66,13 @@
 
 
 def _begin_epoch(machine: Machine, changes: HeartbeatChanges) -> None:
-    """The worker has killed and forgotten all of its tasks.
+    """Drop all runs: a worker begins a new epoch after it has killed and forgotten its tasks.
 
-    It does so when its lease expires. Where its heartbeats never ceased, or the last start was
-    never acknowledged, our responses have not reached it.
+    It does so when its lease expires. If its heartbeats never stopped, or the last start command
+    was never acknowledged, this owner's responses have not reached it.
     """
-    expected = machine.heartbeat.online or machine.heartbeat.start_unacknowledged
-    changes.start_missed = expected and machine.fencing.fenced
+    responses_missed = machine.heartbeat.online or machine.heartbeat.start_unacknowledged
+    changes.start_missed = responses_missed and machine.fencing.fenced
     changes.vanished.extend(machine.runs.values())
     machine.runs.clear()
     machine.images.fetching.clear()
@@ -91,14 +92,14 @@
         changes.unknown_tasks.append(status)
     else:
         run.reported = True
-        if status.state in STARTED and run.started_at is None:
+        if status.state in STARTED_STATES and run.started_at is None:
             run.started_at = now
             changes.started.append(run)
         run.state = status.state
 
 
 def _drop_unreported_runs(machine: Machine, changes: HeartbeatChanges) -> None:
-    """Runs that the heartbeat does not list have ended unseen, or have never begun."""
+    """Drop runs that the heartbeat does not list: they have ended unnoticed or never started."""
     for task_id, run in list(machine.runs.items()):
         status = machine.tasks.get(task_id)
         if status is None or status.attempt != run.attempt:
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -1,4 +1,4 @@
-"""A machine as the owner of its shard knows it, and the attempts of tasks on it."""
+"""The owner's state of a machine of its shard, and of the task attempts on that machine."""
 
 from __future__ import annotations
 
@@ -17,35 +17,39 @@
 )
 from fallpulley.workers.messages import Heartbeat, TaskState, TaskStatus
 
-# A machine with fewer free processors than this has no room worth planning for.
+# A machine with fewer free processors counts as full: the room is not worth a planning run.
 MIN_FREE_CPUS = 0.5
 
 
 class TaskRun(msgspec.Struct, eq=False):
-    """An attempt of a task: commanded or adopted, and not confirmed gone from its machine."""
+    """A started or adopted attempt of a task that is not confirmed gone from its machine."""
 
     job_id: str
     task_index: int
     attempt: int
     machine_id: str
-    commanded_at: float  # or adopted; by the steady clock
-    estimated_run_s: float  # without the image fetch
+    commanded_at: float  # when it was started or adopted, in seconds of the monotonic clock
+    estimated_run_s: float  # estimated run time in seconds, without the image fetch
     resources: Resources
-    reported: bool = False  # the machine has listed it
+    reported: bool = False  # the machine has listed it in a reported state
     state: TaskState = TaskState.FETCHING
-    started_at: float | None = None  # when it was first known to be past its image fetch
-    stop_grace_s: float | None = None  # grace period of its stop; None: it is not to stop
+    # When its image fetch was first known to be complete, in seconds of the monotonic clock; None
+    # until then.
+    started_at: float | None = None
+    # Grace period of its stop command in seconds; None if it is not to stop.
+    stop_grace_s: float | None = None
 
     @property
     def task_id(self) -> str:
-        """The task's name in the protocol."""
+        """The task's id in the workers' protocol."""
         return f"{self.job_id}/{self.task_index}"
 
 
 class Machine:
-    """One machine, in memory only: what is durable is in the shard's record.
+    """A machine of a shard, as its owner knows it.
 
-    What is known of it is grouped by concern; `machine_parts` has the groups.
+    This state is held in memory only; durable facts are in the shard's record. It is grouped by
+    concern into the classes of `machine_parts`.
     """
 
     def __init__(
@@ -60,16 +64,16 @@
         self.speed = SpeedEstimate()
         self.reliability = Reliability()
         self.scale_in = ScaleInState()
-        self.tasks: dict[str, TaskStatus] = {}  # as the machine last listed them, by task_id
+        self.tasks: dict[str, TaskStatus] = {}  # tasks as the machine last listed them, by task_id
         self.runs: dict[str, TaskRun] = {}  # attempts that may be on the machine, by task_id
-        # The record's occupancy flag is set, so tasks may be started.
+        # Whether the occupancy flag is set in the shard's record: only then may tasks be started.
         self.flagged_occupied = False
-        # The machine in the last plan; None: something has changed since.
+        # The machine as the last plan saw it; None if something has changed since.
         self.snapshot: MachineSnapshot | None = None
 
     @property
     def usable(self) -> bool:
-        """Whether it may get tasks: it is online, our commands reach it, and it is to stay."""
+        """Whether it may get tasks: it is online, commands reach it and it is not to leave."""
         scale_in, fencing = self.scale_in, self.fencing
         return (
             self.heartbeat.online
@@ -83,7 +87,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether the last plan found no room on it, and nothing has changed since."""
+        """Whether it had no free capacity in the last plan, and nothing has changed since."""
         snapshot = self.snapshot
         return (
             snapshot is not None
@@ -93,11 +97,11 @@
 
     @property
     def empty(self) -> bool:
-        """Whether it holds no task, and no start is on its way to it."""
+        """Whether it holds no task and no start command is on its way to it."""
         return not self.runs and not self.tasks
 
     def is_unchanged(self, heartbeat: Heartbeat) -> bool:
-        """Whether the heartbeat shows nothing new but that the machine is still online."""
+        """Whether the heartbeat shows only that the machine is still online."""
         return (
             self.fencing.fenced
             and not self.heartbeat.start_unacknowledged
--- a/fallpulley/workers/machine_parts.py
+++ b/fallpulley/workers/machine_parts.py
@@ -1,6 +1,6 @@
-"""What the owner of a shard knows of one of its machines, by concern.
+"""The state that a shard's owner keeps for each machine, grouped by concern.
 
-Times are in seconds by the steady clock.
+Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,13 +12,15 @@
 
 from fallpulley.workers.messages import Heartbeat, HeartbeatVersion, TaskStatus
 
-# Tasks after which a machine's own run times count as much as the assumption that it is like
-# all others, and how many of the latest count.
+# Weight, in samples, of the prior assumption that a machine is as fast as all others: after this
+# many tasks, the machine's own run times weigh as much.
 SPEED_PRIOR_SAMPLES = 4
+# Number of samples beyond which older ones decay.
 MAX_SPEED_SAMPLES = 12
-# Machines of a type differ by up to a tenth; below this factor it is the tasks that differ.
-CLEARLY_SLOW = 1.4
-# A single run time counts within these factors of its estimate.
+# Ratio of run times to estimates up to which a machine is not treated as slow. Machines of a type
+# differ by up to 10%; larger ratios below this one are caused by differences between tasks.
+SLOW_MACHINE_RATIO = 1.4
+# Bounds that the ratio of a single run time to its estimate is clamped to.
 MIN_RUN_TIME_RATIO = 0.2
 MAX_RUN_TIME_RATIO = 8.0
 
@@ -26,60 +28,64 @@
 
 
 class HeartbeatState(msgspec.Struct):
-    """The newest heartbeats of the machine, and the responses to them."""
+    """The newest state that the machine has reported, and its latest heartbeat and response."""
 
-    # Version of the newest state known, also from responses to direct commands.
+    # Version of the newest known state, whether from a heartbeat or a response to a direct command.
     agent_epoch: int = 0
     sequence: int = -1
-    newest_received: HeartbeatVersion = (0, -1)  # of heartbeats alone
+    # Version of the newest heartbeat received; responses to direct commands do not count.
+    newest_received_version: HeartbeatVersion = (0, -1)
     online: bool = False  # its lease has not expired since its last heartbeat
-    ever_online: bool = False  # since we have owned the machine
-    received_at: float = NEVER  # the last heartbeat
-    responded_at: float = NEVER  # the last response, which may have renewed its lease
-    reported_tasks: list[TaskStatus] = msgspec.field(
-        default_factory=list
-    )  # those of the newest state
-    start_unacknowledged: bool = False  # a start was sent that no heartbeat has confirmed
+    ever_online: bool = False  # it has been online since this owner acquired it
+    received_at: float = NEVER  # time of the last heartbeat
+    responded_at: float = NEVER  # time of the last response, which may have renewed its lease
+    # Tasks in the newest known state, in the order reported.
+    reported_tasks: list[TaskStatus] = msgspec.field(default_factory=list)
+    start_unacknowledged: bool = False  # a start was sent, and no heartbeat applied since
 
     def is_newer(self, heartbeat: Heartbeat) -> bool:
-        """Whether this is newer than the newest state known."""
+        """Whether the heartbeat is newer than the newest known state."""
         return heartbeat.version > (self.agent_epoch, self.sequence)
 
     def advance(self, heartbeat: Heartbeat) -> None:
-        """The newest state known is this one from now on."""
+        """Record the heartbeat's version as that of the newest known state."""
         self.agent_epoch, self.sequence = heartbeat.version
 
     def is_stale_copy(self, heartbeat: Heartbeat) -> bool:
-        """Whether an equally new or newer heartbeat came before. Records the version.
+        """Record the heartbeat's version; return whether one as new or newer was received before.
 
-        One that was only overtaken by the response to a direct command is not: its worker waits
-        for the response.
+        A heartbeat that was overtaken only by the response to a direct command is no stale copy:
+        its worker is waiting for the response.
         """
-        if heartbeat.version <= self.newest_received:
+        if heartbeat.version <= self.newest_received_version:
             return True
-        self.newest_received = heartbeat.version
+        self.newest_received_version = heartbeat.version
         return False
 
 
 class FencingState(msgspec.Struct):
-    """The token that the machine is commanded with, and whether it has reported one of ours."""
+    """The fencing token in commands to the machine, and whether the machine has confirmed it."""
 
-    # At first the revision of the record that gave the machine to us. Any revision from there up to
-    # the record's newest is ours alone, so the token may be raised that far.
+    # Initially the revision of the record that gave the machine to this owner. All revisions from
+    # that one to the record's newest belong to this owner alone, so the token may be raised to any
+    # of them.
     token: int
-    fenced: bool = False  # has reported a token of ours
-    # Since when its heartbeats come without showing that our responses reach it; None: they do.
+    fenced: bool = False  # the machine has reported a token of this owner
+    # Since when its heartbeats have arrived without showing that this owner's responses reach it;
+    # None if the responses reach it.
     unacknowledged_since: float | None = None
-    unfenced_heartbeat_at: float = NEVER  # the last one without a token of ours
-    unfenced_responses: int = 0  # responses to it before it reported a token of ours
-    prompted_at: float = NEVER  # when a heartbeat was last prompted by a raised token
-    probe_in_flight: bool = False  # an empty direct command has no outcome yet
-    next_probe_at: float = NEVER  # no probe before then
-    probe_failures: int = 0  # probes without a worker's response
+    unfenced_heartbeat_at: float = NEVER  # last heartbeat without a token of this owner
+    unfenced_responses: int = 0  # responses sent before it reported a token of this owner
+    prompted_at: float = NEVER  # when a raised token last prompted a heartbeat
+    probe_in_flight: bool = False  # a probe (an empty direct command) has no outcome yet
+    next_probe_at: float = NEVER  # earliest time of the next probe
+    probe_failures: int = 0  # probes that the worker did not respond to
 
     def advance_token(self, newest: int) -> bool:
-        """Raise the token by one, up to `newest`, the record's newest revision; False where it is
-        there already."""
+        """Raise the token by one; return False if it is already at `newest`.
+
+        `newest` is the newest revision of the shard's record.
+        """
         if self.token >= newest:
             return False
         self.token += 1
@@ -87,16 +93,19 @@
 
 
 class ImageCache(msgspec.Struct):
-    """Images that the machine has or fetches. It keeps the most recently used ones.
+    """An estimate of the images that the machine has cached or is fetching.
 
-    This is reckoned from what was started there: workers do not report their images.
+    Workers do not report their images, so this is derived from the tasks started there. A machine
+    evicts the least recently used images.
     """
 
-    cached: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)  # image -> GB
-    fetching: dict[str, float] = msgspec.field(default_factory=dict)  # image -> when the fetch ends
+    # Image -> size in GB, the least recently used image first.
+    cached: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
+    # Image -> estimated time at which its fetch completes.
+    fetching: dict[str, float] = msgspec.field(default_factory=dict)
 
     def add(self, image: str, size_gb: float, cache_gb: float) -> None:
-        """The image is used now; the least recently used ones make room for it."""
+        """Add an image as the most recently used one, and evict others beyond the cache size."""
         self.cached[image] = size_gb
         self.cached.move_to_end(image)
         total = sum(self.cached.values())
@@ -106,44 +115,46 @@
 
 
 class SpeedEstimate(msgspec.Struct):
-    """How fast the machine is, from the run times of its tasks."""
+    """An estimate of the machine's speed from the run times of its tasks."""
 
-    samples: int = 0
-    log_sum: float = 0.0  # sum of the logarithms of run times over estimates
+    sample_count: int = 0  # recorded run times, at most `MAX_SPEED_SAMPLES`
+    log_ratio_sum: float = 0.0  # decayed sum of the logarithms of run time / estimate
 
     @property
     def slowness(self) -> float:
-        """Run times here over estimates.
+        """The factor by which tasks run longer here than estimated; 1 for an ordinary machine.
 
-        Tasks of a job differ far more than machines do, so only a clear and repeated difference
-        counts: that of a faulty machine. In tenths, or each slow machine would be of a shape of
-        its own to every job's list schedule.
+        Tasks of a job differ far more than machines do, so only a large and repeated difference,
+        as on a faulty machine, counts. Rounded to tenths: otherwise every slow machine would be a
+        machine shape of its own in each job's list schedule.
         """
-        ratio = math.exp(self.log_sum / (self.samples + SPEED_PRIOR_SAMPLES))
-        return round(ratio, 1) if ratio > CLEARLY_SLOW else 1.0
+        ratio = math.exp(self.log_ratio_sum / (self.sample_count + SPEED_PRIOR_SAMPLES))
+        return round(ratio, 1) if ratio > SLOW_MACHINE_RATIO else 1.0
 
     def record(self, ratio: float) -> None:
-        """A task's run time over its estimate."""
-        self.samples = min(self.samples + 1, MAX_SPEED_SAMPLES)
-        keep = 1 - 1 / MAX_SPEED_SAMPLES if self.samples == MAX_SPEED_SAMPLES else 1.0
+        """Add a sample: a task's run time divided by its estimate."""
+        self.sample_count = min(self.sample_count + 1, MAX_SPEED_SAMPLES)
+        decay = 1 - 1 / MAX_SPEED_SAMPLES if self.sample_count == MAX_SPEED_SAMPLES else 1.0
         bounded = max(MIN_RUN_TIME_RATIO, min(MAX_RUN_TIME_RATIO, ratio))
-        self.log_sum = self.log_sum * keep + math.log(bounded)
+        self.log_ratio_sum = self.log_ratio_sum * decay + math.log(bounded)
 
 
 class Reliability(msgspec.Struct):
-    """Whether tasks succeed on the machine, and whether it lets them start."""
+    """Task failures and completions on the machine, and its latest refusal to start a task."""
 
-    failed_jobs: set[str] = msgspec.field(default_factory=set)  # with a task that failed here
+    failed_jobs: set[str] = msgspec.field(
+        default_factory=set
+    )  # ids of jobs with a task that failed here
     completed_tasks: int = 0
-    refuses_tasks_until: float = NEVER  # it has refused a start: no bookings before then
+    refuses_tasks_until: float = NEVER  # no bookings before then, after a refused start
 
 
 class ScaleInState(msgspec.Struct):
-    """Whether the machine is about to leave its shard, or the fleet, and why."""
+    """Whether and why the machine is about to leave its shard or the fleet."""
 
-    draining: bool = False  # takes no new tasks: it is to leave the shard when it is empty
-    release_decided: bool = False  # it may be released to the cloud at any moment
+    draining: bool = False  # gets no new tasks, and leaves the shard once it is empty
+    release_decided: bool = False  # it may be released to the cloud at any time
     leaving_shard: bool = False  # a record without this machine is being written
-    idle_since: float | None = None  # None: it holds tasks
-    preempted_at: float | None = None  # when the cloud takes it, by its preemption notice
-    failed_in_cloud: bool = False  # the cloud says that it has stopped
+    idle_since: float | None = None  # since when it has held no tasks; None while it holds any
+    preempted_at: float | None = None  # when its preemption notice ends; None without a notice
+    failed_in_cloud: bool = False  # the cloud lists it as stopped
--- a/fallpulley/workers/messages.py
+++ b/fallpulley/workers/messages.py
@@ -1,6 +1,6 @@
 """The messages between workers and controllers, encoded as JSON.
 
-The protocol's names of fields and values are mapped here, once; the rest of the code uses ours.
+The protocol's names of fields and values are mapped to this project's names here alone.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-# Counts, fencing tokens and attempt numbers: below 2^64, never negative.
+# Type of counts, fencing tokens and attempt numbers: not negative, below 2^64.
 Count = Annotated[int, Meta(ge=0)]
 
 # The epoch of a worker's agent, and the sequence number of a message within it.
@@ -19,12 +19,12 @@
 
 
 class TaskState(StrEnum):
-    """The state of a task on a machine. Values as in the protocol's field `stage`."""
+    """The state of a task on a machine; the values of the protocol's field `stage`."""
 
     FETCHING = "pulling"
     RUNNING = "running"
-    SAVING = "saving"  # writes a checkpoint before it stops
-    EXITED = "ended"  # listed until the worker is commanded to forget it
+    SAVING = "saving"  # it writes a checkpoint before it stops
+    EXITED = "ended"  # it stays listed until the worker is commanded to forget it
     UNKNOWN = ""  # any value that the protocol does not name
 
     @classmethod
@@ -33,12 +33,12 @@
 
 
 class ExitReason(StrEnum):
-    """Why a task exited. Values as in the protocol's field `cause`."""
+    """Why a task exited; the values of the protocol's field `cause`."""
 
-    DONE = "done"  # completed
-    STOPPED = "stopped"  # by a command
-    ERROR = "error"  # failed by itself
-    NO_ROOM = "full"  # the machine refused the start: too little room
+    DONE = "done"  # it completed
+    STOPPED = "stopped"  # it was stopped by a command
+    ERROR = "error"  # it failed by itself
+    NO_ROOM = "full"  # the machine refused the start: not enough free capacity
     ALREADY_THERE = "in_use"  # the machine refused the start: it has another attempt of the task
     UNKNOWN_TASK = "unknown"  # the machine refused the start: the task is not known to it
     UNKNOWN = ""  # any value that the protocol does not name
@@ -48,12 +48,12 @@
         return cls.UNKNOWN
 
 
-# The machine refused to start the task.
+# Exit reasons of a task that the machine refused to start.
 START_REFUSALS: Final = (ExitReason.NO_ROOM, ExitReason.ALREADY_THERE, ExitReason.UNKNOWN_TASK)
 
 
 class Operation(StrEnum):
-    """What a machine is to do with a task. Values as in the protocol's field `verb`."""
+    """What a machine is to do with a task; the values of the protocol's field `verb`."""
 
     START = "run"
     STOP = "stop"
@@ -68,8 +68,8 @@
     task_id: str
     attempt: Count = msgspec.field(name="try")
     state: TaskState = TaskState.RUNNING
-    exit_reason: ExitReason | None = None  # of an exited task
-    saved: bool = False  # its work was saved before it stopped
+    exit_reason: ExitReason | None = None  # None unless the task has exited
+    saved: bool = False  # whether its work was saved before it stopped
 
 
 class Heartbeat(
@@ -87,23 +87,26 @@
         "tasks": "pieces",
     },
 ):
-    """A machine's state: the body of a heartbeat (`POST /checkin`), and of the response to a
-    direct command (`/do`) or a status probe (`/inspect`)."""
+    """A machine's state: the body of a heartbeat (`POST /checkin`).
+
+    Also the body of the response to a direct command (`POST /do`).
+    """
 
     machine_id: Annotated[str, Meta(min_length=1, max_length=200)]
     agent_epoch: Count  # grows whenever the agent has forgotten all of its tasks
     sequence: Count  # grows with each message within an epoch
-    address: str = ""  # host:port for direct commands; empty: not said
+    address: str = ""  # host:port for direct commands; empty if not reported
     machine_type: str = ""
     zone: str = ""
     spot: bool = False
-    fencing_token: Count = 0  # the highest that the machine has had
-    preemption_notice_s: float | None = None  # until the cloud takes the machine; None: it does not
+    fencing_token: Count = 0  # the highest token that the machine has received
+    # Seconds until the cloud preempts the machine; None without a preemption notice.
+    preemption_notice_s: float | None = None
     tasks: list[TaskStatus] = []
 
     @property
     def version(self) -> HeartbeatVersion:
-        """Of two messages of a machine, the one with the larger version is the newer."""
+        """The order of a machine's messages: the larger version is the newer one."""
         return self.agent_epoch, self.sequence
 
 
@@ -117,7 +120,7 @@
     operation: Operation
     task_id: str
     attempt: int = msgspec.field(name="try")
-    grace_period_s: float | None = None  # of a stop: how long the task may save its work
+    grace_period_s: float | None = None  # for a stop: seconds the task has to save its work
 
 
 class HeartbeatResponse(msgspec.Struct, rename={"fencing_token": "baton", "commands": "orders"}):
@@ -131,21 +134,21 @@
     msgspec.Struct,
     rename={"fencing_token": "baton", "agent_epoch": "shift", "commands": "orders"},
 ):
-    """A command at the machine's own address (`POST /do`); it renews no lease."""
+    """Commands sent to the machine's own address (`POST /do`); they renew no lease."""
 
     fencing_token: int
-    agent_epoch: int  # the worker refuses a command for another epoch than its own
+    agent_epoch: int  # the worker refuses a command for any epoch but its own
     commands: list[TaskCommand]
 
 
 class Redirect(msgspec.Struct, rename={"redirect_to": "foreman"}):
-    """The response to a heartbeat of a machine that belongs to somebody else."""
+    """The response to a heartbeat of a machine that another controller owns."""
 
-    redirect_to: str  # the owner's controller_id
+    redirect_to: str  # controller_id of the owner
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat | None:
-    """Decode a heartbeat; None where it is malformed."""
+    """Decode a heartbeat; return None if it is malformed."""
     try:
         return msgspec.json.decode(body, type=Heartbeat)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
