--- a/fallpulley/context.py
+++ b/fallpulley/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a controller share: settings, identity, clock, outbox, state client."""
+"""The context that all parts of a controller share: settings, clock, outbox and state client."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from fallpulley.record_format import RecordFormat
 from fallpulley.settings import Settings
 from fallpulley.state.client import StateClient
-from fallpulley.timing import timing_of
+from fallpulley.timing import derive_timing
 
 
 class ControllerContext:
-    """The shared context of one controller process.
+    """The context shared by all parts of one controller process.
 
-    `now` and `wall_time` are set once at the start of each step and stay the same throughout it.
+    `now` and `wall_time` are set once, at the start of each step.
     """
 
     def __init__(self, settings: Settings, incarnation: str, clock: Callable[[], float]) -> None:
         self.settings = settings
         self.controller_id = settings.controller_id
         self.incarnation = incarnation
-        self.clock = clock  # monotonic, in seconds
-        self.now = 0.0  # seconds of the monotonic clock
-        self.wall_time = 0.0  # seconds since the epoch
+        self.clock = clock  # reads the monotonic clock, in seconds
+        self.now = 0.0  # start of the step, in seconds of the monotonic clock
+        self.wall_time = 0.0  # start of the step, in seconds since the Unix epoch
         self.outbox: list[Effect] = []
-        self.timing = timing_of(settings)
+        self.timing = derive_timing(settings)
         limits = settings.facts.state
-        nodes = max(settings.facts.nodes, 1)
+        controller_count = max(settings.facts.nodes, 1)
         self.state_client = StateClient(
             settings.endpoints.state,
-            limits.rps / nodes,
-            limits.write_rps / nodes,
-            # The strictest of present and announced limits: every record format allows it.
+            limits.rps / controller_count,
+            limits.write_rps / controller_count,
+            # The lower of the present and the announced limit: valid for every record format.
             limits.strictest().txn_ops,
             self.outbox.append,
         )
-        self.record_format = RecordFormat(limits, nodes, self.state_client)
+        self.record_format = RecordFormat(limits, controller_count, self.state_client)
 
     def respond(
         self,
@@ -45,7 +45,7 @@
         body: bytes = b"",
         retry_after: float | None = None,
     ) -> None:
-        """Add the response to a request to the outbox; `retry_after` in seconds."""
+        """Add the response to a request to the outbox; `retry_after` is in seconds."""
         self.outbox.append(SendResponse(pending_response, status, body, retry_after))
 
     def call(
--- a/fallpulley/controller_access.py
+++ b/fallpulley/controller_access.py
@@ -1,4 +1,4 @@
-"""What an extension with records of its own is given of the controller that it is part of."""
+"""The access to its controller that is given to an extension with records of its own."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteCallback
 from fallpulley.state.watch_cache import WatchCache
 
-# A write that has not gone out by then is given up, and decided anew.
+# A write that is still queued after this time is abandoned; its extension decides again.
 MAX_WRITE_WAIT_SECONDS = 2.0
 
 
 class ControllerAccess(msgspec.Struct, frozen=True):
-    """The controller's parts that extensions read, and how they write records of their own."""
+    """The parts of the controller that extensions read, and the way they write their records."""
 
     context: ControllerContext
     watch: WatchCache
@@ -28,7 +28,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """This controller leads, by the records as last seen."""
+        """Whether this controller is the leader, by the records as last seen."""
         return self.leadership.term is not None
 
     def compare_and_set(
@@ -40,9 +40,10 @@
         *,
         isolated: bool = False,
     ) -> None:
-        """Write one record if every key in `conditions` still has the revision given there.
+        """Write one record if every key in `conditions` still has the given revision.
 
-        `isolated` keeps the write out of transactions with others, whose conditions could fail.
+        `isolated` keeps the write out of transactions with other writes, whose conditions could
+        fail and take this write with them.
         """
         self.context.state_client.write(
             Write(
--- a/fallpulley/effects.py
+++ b/fallpulley/effects.py
@@ -1,7 +1,7 @@
 """The interface between the controller and its process: commands come in, effects go out.
 
-Network callbacks queue commands; the controller's loop handles them in batches and returns
-effects, which the process carries out. Only the controller decides anything.
+Network callbacks queue commands. The process passes them to the controller in batches and carries
+out the effects that the controller returns. All decisions are made by the controller.
 """
 
 from __future__ import annotations
@@ -12,27 +12,30 @@
 
 import msgspec
 
-# The status of a call whose response was longer than this process accepts; no HTTP status is 0.
+# Stands in for the status of a call whose response was too long to be read; no HTTP status is 0.
 RESPONSE_TOO_LONG = 0
 
 
 class PendingResponse(Protocol):
-    """Accepts the response to one request; a second response is ignored."""
+    """Sends the response to one request; a second response is ignored."""
 
     def __call__(self, status: int, body: bytes, retry_after: float | None, /) -> None:
-        """Send the response. `retry_after` in seconds; None sends no such header."""
+        """Send the response.
+
+        `retry_after` is in seconds; None sends no `Retry-After` header.
+        """
 
 
 class Response(msgspec.Struct):
     """The response to an HTTP call of this controller."""
 
-    status: int | None  # None: no response, so the outcome is unknown
+    status: int | None  # None if there was no response: the outcome is unknown
     body: bytes
     sent_at: float  # when the call was sent, in seconds of the monotonic clock
 
     @property
     def ok(self) -> bool:
-        """The request was carried out."""
+        """Whether the request was carried out."""
         return self.status == HTTPStatus.OK
 
 
@@ -40,11 +43,11 @@
 
 
 def ignore_response(response: Response) -> None:
-    """The handler of calls whose outcome does not matter."""
+    """Ignore the outcome of a call."""
 
 
 class Request(msgspec.Struct):
-    """A request that reached this controller on its public address."""
+    """A request from a user or a worker, received on the public address."""
 
     pending_response: PendingResponse
     method: str
@@ -62,21 +65,21 @@
 
 
 class CallCompleted(msgspec.Struct):
-    """The outcome of an `HttpCall`, to be passed to its handler."""
+    """The outcome of an `HttpCall`, for its response handler."""
 
     on_response: ResponseHandler
     status: int | None  # as in `Response`
     body: bytes
-    sent_at: float
+    sent_at: float  # as in `Response`
 
     @property
     def response(self) -> Response:
-        """The outcome in the form that the handler takes."""
+        """The outcome as the response handler takes it."""
         return Response(self.status, self.body, self.sent_at)
 
 
 class PeerMessage(msgspec.Struct):
-    """A message from another controller, still encoded."""
+    """An encoded message from another controller."""
 
     body: bytes
 
@@ -90,7 +93,7 @@
     pending_response: PendingResponse
     status: int
     body: bytes = b""
-    retry_after: float | None = None  # seconds
+    retry_after: float | None = None  # seconds; None sends no such header
 
 
 class HttpCall(msgspec.Struct):
--- a/fallpulley/record_format.py
+++ b/fallpulley/record_format.py
@@ -1,7 +1,7 @@
-"""The formats of stored records, and which of them is written.
+"""The formats of stored records, and the choice of the one to write.
 
-A process publishes the newest format that it knows. A newer one is written once every controller
-knows it, and never taken back.
+Each process publishes the newest format that it can read. Controllers begin to write a newer format
+once all of them can read it, and never go back to an older one.
 """
 
 from __future__ import annotations
@@ -13,28 +13,30 @@
 
 log = logging.getLogger(__name__)
 
-# What every version reads.
+# The format that every version can read.
 FIRST_FORMAT = 1
-# Machines by runs of numbered names, progress values that name their size, several machines in a
-# release record, jobs that depend on others.
+# Adds machines encoded as ranges of numbered names, progress values that contain their size,
+# release records with several machines, and jobs that depend on others.
 COMPACT_FORMAT = 2
-# A shard's machines may stand in several values, its pages.
+# Adds shard records whose machines are split into several values, the record's pages.
 PAGED_FORMAT = 3
 NEWEST_FORMAT = PAGED_FORMAT
 
-# Of the room that a value has, what a record may fill.
+# Share of the size limit of values that controllers use.
 MAX_VALUE_SHARE = 0.95
 
 
 class RecordFormat:
-    """The format in which this controller writes, and the limits that values must keep."""
+    """The record format that this controller writes, and the limits on values and transactions."""
 
-    def __init__(self, limits: StateLimits, nodes: int, state_client: StateClient) -> None:
+    def __init__(
+        self, limits: StateLimits, controller_count: int, state_client: StateClient
+    ) -> None:
         self.number = FIRST_FORMAT
-        # Of what holds now and what will hold after an upgrade, the stricter of each.
+        # The lower of each limit in force now and the one announced for after an upgrade.
         self.strictest_limits = limits.strictest()
         self._limits = limits
-        self._nodes = nodes
+        self._controller_count = controller_count
         self._state_client = state_client
         if self.strictest_limits.value_kb < limits.value_kb:
             state_client.future_value_bytes = self.strictest_limits.value_kb * 1024
@@ -42,46 +44,49 @@
 
     @property
     def compact(self) -> bool:
-        """Records may be written as the first version could not read them."""
+        """Whether records may be written in formats that the first version cannot read."""
         return self.number >= COMPACT_FORMAT
 
     @property
     def paged(self) -> bool:
-        """A shard's machines may stand in several values."""
+        """Whether a shard's machines may be split into several values."""
         return self.number >= PAGED_FORMAT
 
     @property
     def txn_ops(self) -> int:
-        """Puts and deletes that one transaction may hold."""
+        """Maximum number of changes (puts and deletes) in one transaction."""
         return self.strictest_limits.txn_ops
 
     @property
     def value_bytes(self) -> int:
-        """What a value may hold now.
+        """Maximum size in bytes of a value that this controller writes.
 
-        Once no controller needs the first format, no more than the state service will allow, so
-        that nothing changes when its future limits begin to hold.
+        Once no controller needs the first format, the announced limit counts if it is lower, so
+        that nothing changes when it comes into force.
         """
         limits = self.strictest_limits if self.compact else self._limits
         return int(limits.value_kb * 1024 * MAX_VALUE_SHARE)
 
     def adopt(self, number: int) -> None:
-        """Write records in this format from now on; there is no way back."""
+        """Write records in this format from now on; do nothing if it is not newer."""
         if self.number >= number:
             return
         log.info("record format adopted format=%d", number)
         if not self.compact:
             future = self.strictest_limits
             self._state_client.expect_lower_rates(
-                future.rps / self._nodes, future.write_rps / self._nodes
+                future.rps / self._controller_count, future.write_rps / self._controller_count
             )
         self.number = number
 
     def _on_future_limits(self) -> None:
-        """A value was refused that was allowed before.
+        """Adopt the compact format: the state service refused a value that it allowed before.
 
-        Future limits hold only after the last controller was upgraded, whether or not all have
-        been seen since: nobody needs the first format any more.
+        The announced limits come into force only after the last controller was upgraded. So no
+        controller needs the first format any more, even if not all have been seen since.
         """
-        log.info("state limits lowered value_kb=%g", self.strictest_limits.value_kb)
+        log.info(
+            "state service enforces its announced lower limits value_kb=%g",
+            self.strictest_limits.value_kb,
+        )
         self.adopt(COMPACT_FORMAT)
--- a/fallpulley/resources.py
+++ b/fallpulley/resources.py
@@ -1,22 +1,22 @@
-"""What a task uses of its machine, and what a machine has."""
+"""Amounts of resources: what a task needs, and what a machine has or has free."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Sums of decimal amounts are compared with this tolerance.
+# Tolerance in comparisons of amounts, which are sums of decimal fractions.
 TOLERANCE = 1e-6
 
 
 class Resources(NamedTuple):
     """Amounts of processors, accelerators and memory."""
 
-    cpus: float  # fractions of processors too
-    gpus: float
+    cpus: float  # processors, may be a fraction
+    gpus: float  # accelerators
     memory_gb: float
 
     def fits_in(self, free: Resources) -> bool:
-        """Whether `free` has this much of each, within `TOLERANCE`."""
+        """Whether no amount exceeds that of `free` by more than `TOLERANCE`."""
         return (
             self.cpus <= free.cpus + TOLERANCE
             and self.gpus <= free.gpus + TOLERANCE
@@ -24,19 +24,19 @@
         )
 
     def plus(self, other: Resources) -> Resources:
-        """The sum of each amount."""
+        """Return the sums of the amounts."""
         return Resources(
             self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb
         )
 
     def minus(self, other: Resources) -> Resources:
-        """The difference of each amount, which may be negative."""
+        """Return the differences of the amounts, which may be negative."""
         return Resources(
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
     def minimum(self, other: Resources) -> Resources:
-        """The smaller of each amount."""
+        """Return the smaller amount of each resource."""
         return Resources(
             min(self.cpus, other.cpus),
             min(self.gpus, other.gpus),
--- a/fallpulley/shard_sizes.py
+++ b/fallpulley/shard_sizes.py
@@ -1,4 +1,4 @@
-"""How many shards there are and how large each should be: pure arithmetic for the leader."""
+"""The number of shards and their target sizes; pure functions, used by the leader."""
 
 from __future__ import annotations
 
@@ -6,30 +6,33 @@
 
 from fallpulley.settings import Facts
 
-# Processor time of one heartbeat on a whole core, with its share of planning and of answers to
-# users: measured on the simulated controllers, rounded up.
+# Processor time of one heartbeat on a whole core, including its share of planning and of responses
+# to users: measured on simulated controllers and rounded up.
 HEARTBEAT_CPU_SECONDS = 0.0002
-# Of a controller's share of a core, what heartbeats may take. A second shard costs more than an
-# owner that is late: at 9% of a core and 632 machines it changed owners with every controller
-# that came back, each time unreconciled for a window and a lease.
+# Share of a controller's processor share that heartbeats may use. It is set high because a second
+# shard costs more than an owner that responds late: with 632 machines and 9% of a core, the second
+# shard changed owners whenever a controller came back, and was each time unreconciled for a
+# response window and a lease.
 HEARTBEAT_CPU_SHARE = 0.6
-# Bytes that a machine adds to its shard's record at the most, with a name and an address of the
-# usual length; compressed, neighbours take a fifth of it.
+# Upper bound of the bytes that a machine adds to its shard's record, with a name and an address of
+# usual length. Machines with similar names and addresses compress to a fifth of it.
 FIRST_FORMAT_ENTRY_BYTES = 40
-# The same in the compact format: measured 1 to 3, and addresses that do not fit are left out.
+# The same in the compact format: measured 1 to 3 bytes; addresses that do not fit are left out.
 COMPACT_ENTRY_BYTES = 8
-# Of the budget of changes to the state service, the share that is split equally among controllers
-# for what users ask; the rest belongs to owners, who write occupancy flags, progress and ends of
+# Share of the budget of changes to the state service that is split equally among controllers, for
+# users' requests. The rest goes to owners, which write occupancy flags, progress and the ends of
 # jobs.
 EQUAL_CHANGE_SHARE = 0.5
-# With all records filled beyond this share a further shard is opened, whoever owns it.
+# Share of the value limit beyond which a record counts as full. A further shard is created when all
+# records are full.
 FULL_RECORD_SHARE = 0.8
 
 
 def machines_per_shard(facts: Facts) -> int:
-    """How many machines one owner serves within its processor share and its limit of sockets.
+    """Return how many machines one owner can serve with its processor share and its sockets.
 
-    As many machines as sockets: a few connections made anew cost less than a second shard.
+    All sockets count, although some are used for other connections: having machines reconnect now
+    and then costs less than a second shard.
     """
     limits = facts.machine_limits
     by_processor = (
@@ -39,9 +42,9 @@
 
 
 def shards_needed(machines: int, controllers: int, machines_per_shard: int) -> int:
-    """As few shards as carry the machines, and no more than there are controllers.
+    """Return the fewest shards that can hold the machines, at most one for each controller.
 
-    Each split leaves room idle in one shard while tasks wait in another.
+    Every further shard can leave capacity idle in one shard while tasks wait in another.
     """
     return max(1, min(controllers, math.ceil(machines / machines_per_shard)))
 
@@ -49,10 +52,10 @@
 def target_sizes(
     estimated_work: dict[str, float], machines: int, machines_per_shard: int
 ) -> dict[str, int]:
-    """Machines for each shard, by its share of the estimated work.
+    """Return the number of machines for each shard, in proportion to its estimated work.
 
-    A shard with any work gets one machine at the least, and none gets more than an owner serves
-    unless all are full.
+    A shard with any work gets at least one machine. None gets more than an owner can serve, unless
+    there are more machines than all owners together can serve.
     """
     if not estimated_work:
         return {}
@@ -67,7 +70,7 @@
 
 
 def _proportional_shares(estimated_work: dict[str, float], machines: int) -> dict[str, float]:
-    """Machines for each shard as fractions, in the order of the shards' ids."""
+    """Return the fractional number of machines for each shard, in the order of shard ids."""
     total = sum(estimated_work.values())
     shard_ids = sorted(estimated_work)
     if total <= 0:
@@ -78,7 +81,7 @@
 def _distribute_remainder(
     sizes: dict[str, int], shares: dict[str, float], machines: int, max_size: int
 ) -> None:
-    """Add the machines that rounding left over, to the largest fractions first."""
+    """Add the machines left over from rounding down to `sizes`, largest fractions first."""
     remainder = machines - sum(sizes.values())
     by_fraction = sorted(
         shares, key=lambda shard_id: shares[shard_id] - int(shares[shard_id]), reverse=True
@@ -93,9 +96,9 @@
 
 
 def change_share(controller_id: str, owners: set[str], controllers: int) -> float:
-    """A controller's part of the budget of changes, 1 where all get the same.
+    """Return a controller's share of the change budget, relative to an equal share.
 
-    The parts of all controllers add up to their number.
+    1 means an equal share. The shares of all controllers add up to their number.
     """
     if not owners:
         return 1.0
--- a/fallpulley/timing.py
+++ b/fallpulley/timing.py
@@ -1,4 +1,4 @@
-"""Times that follow from the settings: heartbeats, leases, and how long owners may respond."""
+"""Durations derived from the settings: heartbeats, leases, sessions and the response window."""
 
 from __future__ import annotations
 
@@ -6,27 +6,30 @@
 
 from fallpulley.settings import Settings
 
-# Steady clocks drift apart by up to 0.05%; twice that covers two clocks running apart.
+# Factor that covers the drift between two monotonic clocks: each may drift by up to 0.05%, in
+# opposite directions.
 CLOCK_DRIFT = 1.001
-# Of the time in which a cancellation must have reached all tasks, what is kept for responses under
-# way, slow steps and the clocks' drift.
+# Share of the time in which a cancelled task must have ended (`cancel_s`) that is reserved for
+# responses in flight, slow steps and clock drift.
 CANCELLATION_SLACK_SHARE = 0.1
-# A worker's heartbeat may be late by this share of its interval.
+# Share of the heartbeat interval by which a worker's heartbeat may be late.
 HEARTBEAT_JITTER_SHARE = 0.25
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """How long heartbeats, leases and sessions last; all in seconds."""
+    """The durations of heartbeats, leases and sessions, in seconds."""
 
-    heartbeat_interval_s: float  # between two heartbeats of a worker
-    lease_s: float  # a worker's lease
-    response_window_s: float  # how long an owner without the state service goes on responding
-    session_s: float  # a controller's session, from its last renewal
-    lease_expiry_s: float  # from a response to a worker until its lease has certainly expired
+    heartbeat_interval_s: float  # time between two heartbeats of a worker
+    lease_s: float  # duration of a worker's lease
+    # How long an owner that has lost the state service goes on responding to its machines.
+    response_window_s: float
+    session_s: float  # duration of a controller's session from its last renewal
+    # Time from a response to a worker until the lease that it renewed has certainly expired.
+    lease_expiry_s: float
 
 
-def timing_of(settings: Settings) -> Timing:
-    """The times of one deployment. An optional standby may shorten sessions."""
+def derive_timing(settings: Settings) -> Timing:
+    """Return the durations of a deployment; an enabled standby may shorten sessions."""
     workers = settings.facts.workers
     slack_s = CANCELLATION_SLACK_SHARE * workers.cancel_s
     session_s = settings.operators.session_share * workers.lease_s
