--- a/fallpulley/cli.py
+++ b/fallpulley/cli.py
@@ -1,6 +1,6 @@
-"""The command line: the daemon, checks of its settings, and operators' commands.
+"""The command line: the daemon, the check of its settings, and operators' commands.
 
-A command is added in `COMMANDS`, an exit code in `fallpulley.exit_codes`.
+New commands are added to `COMMANDS`, new exit codes to `fallpulley.exit_codes`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from fallpulley import __version__
-from fallpulley.capacity import shortages, shortages_for
+from fallpulley.capacity import find_fleet_shortages, find_shortages
 from fallpulley.exit_codes import HELP_TEXT, ExitCode
 from fallpulley.settings import Settings, SettingsError, load
 
@@ -24,9 +24,10 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Load the settings, and have the optional parts that are enabled check theirs.
+    """Load the settings, including the checks of enabled optional parts.
 
-    Raises `SettingsError`.
+    Raises:
+        SettingsError: The settings are missing or invalid.
     """
     settings = load(path)
     if settings.operators.shares.enabled:
@@ -40,13 +41,15 @@
 
 
 def _add_serve_arguments(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--config", required=True, metavar="FILE", help="the platform's settings")
+    parser.add_argument(
+        "--config", required=True, metavar="FILE", help="settings file of the platform"
+    )
 
 
 def _run_serve(options: argparse.Namespace) -> ExitCode:
     settings = load_settings(options.config)
     _set_up_log()
-    for shortage in shortages(settings):
+    for shortage in find_shortages(settings):
         log.warning("settings %s", shortage)
     from fallpulley.serve import serve
 
@@ -67,35 +70,36 @@
 
 
 def _add_check_arguments(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("config", metavar="FILE", help="the platform's settings")
+    parser.add_argument("config", metavar="FILE", help="settings file of the platform")
     parser.add_argument(
         "--machines",
-        type=_positive,
+        type=_machine_count,
         metavar="N",
-        help="also say what a fleet of N machines needs; else of machines_max, where it is set",
+        help="also check the capacity for a fleet of N machines (default: machines_max, if set)",
     )
 
 
-def _positive(text: str) -> int:
-    number = int(text)
-    if number < 1:
+def _machine_count(text: str) -> int:
+    """Parse the value of `--machines`; argparse names this function in its error messages."""
+    count = int(text)
+    if count < 1:
         raise argparse.ArgumentTypeError("expected a number of machines above 0")
-    return number
+    return count
 
 
 def _run_check(options: argparse.Namespace) -> ExitCode:
     settings = load_settings(options.config)
-    lacking = shortages(settings)
-    print(_describe(settings))
+    shortages = find_shortages(settings)
+    print(_format_summary(settings))
     machines = options.machines or settings.operators.machines_max
     if machines:
-        lacking += shortages_for(settings, machines)
-    for shortage in lacking:
+        shortages += find_fleet_shortages(settings, machines)
+    for shortage in shortages:
         print(f"fallpulley: warning: {shortage}", file=sys.stderr)
     return ExitCode.OK
 
 
-def _describe(settings: Settings) -> str:
+def _format_summary(settings: Settings) -> str:
     facts = settings.facts
     return (
         f"ok label={settings.controller_id} site={settings.site} nodes={facts.nodes}"
@@ -108,7 +112,7 @@
 
 def _add_shares_arguments(parser: argparse.ArgumentParser) -> None:
     commands = parser.add_subparsers(dest="shares_command", required=True, metavar="COMMAND")
-    show = commands.add_parser("show", help="show the shares and how far blocks are from them")
+    show = commands.add_parser("show", help="show the shares and how far shards are from them")
     change = commands.add_parser("set", help="replace the whole table of shares")
     for command in (show, change):
         command.add_argument(
@@ -116,13 +120,17 @@
             required=True,
             action="append",
             metavar="HOST:PORT",
-            help="a controller's mesh address; given several times, the first that answers",
+            help="mesh address of a controller; if repeated, the first that responds is used",
         )
         command.add_argument("--json", action="store_true", help="print JSON")
     change.add_argument("shares", nargs="+", metavar="LABEL=WEIGHT[:FLOOR[:CEILING]]")
     change.add_argument("--team", action="append", default=[], metavar="TEAM=LABEL")
-    change.add_argument("--expect", type=int, metavar="REVISION", help="only if it is this one")
-    change.add_argument("--operation", metavar="NAME", help="a repeat with the same name is one")
+    change.add_argument(
+        "--expect", type=int, metavar="REVISION", help="only if the table has this revision"
+    )
+    change.add_argument(
+        "--operation", metavar="NAME", help="a repeat with the same name has no effect"
+    )
     change.add_argument("--wait", type=float, default=0.0, metavar="SECONDS")
 
 
@@ -148,7 +156,7 @@
     Command("serve", "run this controller until it is killed", _add_serve_arguments, _run_serve),
     Command(
         "check-config",
-        "check a settings file and say what it holds",
+        "check a settings file and print a summary",
         _add_check_arguments,
         _run_check,
     ),
@@ -174,7 +182,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> ExitCode:
-    """Carry out the command; `arguments` default to those of the process."""
+    """Run a command and return its exit code; `arguments` default to those of the process."""
     options = _build_parser().parse_args(arguments)
     run: Callable[[argparse.Namespace], ExitCode] = options.run
     try:
@@ -185,5 +193,5 @@
 
 
 def script() -> None:
-    """The entry point of the installed command."""
+    """Run the command line; the entry point of the installed command."""
     sys.exit(main())
--- a/fallpulley/effects.py
+++ b/fallpulley/effects.py
@@ -12,7 +12,8 @@
 
 import msgspec
 
-# Stands in for the status of a call whose response was too long to be read; no HTTP status is 0.
+# Replaces the status of a call whose response was longer than this process accepts; no HTTP status
+# is 0.
 RESPONSE_TOO_LONG = 0
 
 
--- a/fallpulley/exit_codes.py
+++ b/fallpulley/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line: the one place where a code is added."""
+"""The exit codes of the command line; new codes are added here."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """The exit codes of all commands."""
 
     OK = 0
     FAILED = 1
@@ -18,16 +18,16 @@
 
 
 EXPLANATIONS = {
-    ExitCode.OK: "well",
-    ExitCode.FAILED: "failed",
-    ExitCode.USAGE: "wrong usage",
-    ExitCode.BAD_SETTINGS: "settings that cannot be used",
-    ExitCode.UNREACHABLE: "no controller answers",
-    ExitCode.CONFLICT: "somebody else changed it first",
-    ExitCode.REFUSED: "refused",
+    ExitCode.OK: "success",
+    ExitCode.FAILED: "failure",
+    ExitCode.USAGE: "usage error",
+    ExitCode.BAD_SETTINGS: "invalid settings",
+    ExitCode.UNREACHABLE: "no controller available",
+    ExitCode.CONFLICT: "conflict with another change",
+    ExitCode.REFUSED: "request refused",
 }
 
-# Shown below the help of the command line.
+# Printed below the help text of the command line.
 HELP_TEXT = (
     "Exit codes: " + ", ".join(f"{code.value} {EXPLANATIONS[code]}" for code in ExitCode) + "."
 )
--- a/fallpulley/serve.py
+++ b/fallpulley/serve.py
@@ -1,10 +1,11 @@
-"""The controller's process: sockets, clocks and calls around the controller, which alone decides.
+"""The controller's process: the servers, the client and the loop that runs the controller.
 
 Everything runs in one thread, on one event loop. Its tasks are the two servers (the public address
 and the mesh address), the closing of idle connections, and the controller's loop, which runs the
-controller in steps. Servers and calls add commands to a queue; the loop takes them in batches and
-carries out the effects of each step. The process ends with a signal: nothing needs to be written
-or sent before, since all that must survive is in the state service.
+controller in steps. Servers and completed calls add commands to a queue; the loop takes them in
+batches, passes each batch to a step of the controller, which makes all decisions, and carries out
+the effects of the step. The process is ended by a signal. It has nothing to write or send first,
+since all durable state is in the state service.
 """
 
 from __future__ import annotations
@@ -29,42 +30,48 @@
     SendResponse,
 )
 from fallpulley.mesh.messages import PEER_MESSAGES_PATH
-from fallpulley.settings import CALL_SHARE, MESH_SHARE, SERVE_SHARE, Settings
+from fallpulley.settings import (
+    MESH_SOCKET_SHARE,
+    PUBLIC_SOCKET_SHARE,
+    WORKER_CALL_SOCKET_SHARE,
+    Settings,
+)
 from fallpulley.wire.client import Client, ClientLimits
 from fallpulley.wire.limit import AdaptiveLimit
 from fallpulley.wire.server import Server
 
 log = logging.getLogger(__name__)
 
-# The controller checks its timers at least this often; all its delays are several times longer.
+# Longest wait for commands before the next step, which also checks the controller's timers; all of
+# its delays are several times longer.
 TICK_SECONDS = 0.1
-# What arrives within this time is one batch: at 200 heartbeats a second a step for each would cost
-# more than all of them, and nobody who waits for a response notices.
+# Time for which commands are collected into one batch. At 200 heartbeats per second, a step for
+# each would cost more than the heartbeats themselves; clients do not notice so short a delay.
 BATCH_WINDOW_SECONDS = 0.015
-# Of the memory, what one response may take: the changes of a long gap have no limit, and reading
-# all keys again by pages costs less than running out of memory.
+# Share of the controller's memory that one response may take. The list of changes since a long
+# outage has no limit; reading all keys again in pages is better than running out of memory.
 MAX_RESPONSE_MEMORY_SHARE = 0.125
-# A step that takes longer is logged: meanwhile no request is answered.
+# Duration above which a step is logged: no request is responded to during a step.
 SLOW_STEP_SECONDS = 0.5
-# How often connections that were idle for long are closed.
+# Time between two checks for client connections that have been idle for too long.
 IDLE_CHECK_SECONDS = 5.0
-# Sockets that the mesh's server and the calls have at least.
+# Minimum number of sockets of the mesh server, and of the client for calls to workers.
 MIN_SOCKETS = 8
-# Bounds of the limit on user requests in progress.
-MIN_USER_REQUESTS = 8
-MIN_MAX_USER_REQUESTS = 16
+# Minimum of the adaptive limit on user requests in progress, and the least value of its maximum.
+MIN_USER_REQUEST_LIMIT = 8
+MIN_USER_REQUEST_CEILING = 16
 
 
-class Service:
-    """One controller with its servers, its client and the queue of its commands."""
+class ControllerProcess:
+    """Runs one controller with its servers, its client and its command queue."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        # Unique to the process, even if the machine's random numbers repeat after a restart.
+        # Unique to the process even if the machine's random numbers repeat after a restart.
         incarnation = f"{os.urandom(6).hex()}-{time.time_ns():x}"
         self.controller = Controller(settings, incarnation, time.monotonic)
         self._commands: deque[Command] = deque()
-        self._wake = anyio.Event()
+        self._wake_event = anyio.Event()
         self._wake_pending = False
 
     # -- commands --------------------------------------------------------------------------
@@ -74,12 +81,12 @@
         self._commands.append(command)
         if not self._wake_pending:
             self._wake_pending = True
-            self._wake.set()
+            self._wake_event.set()
 
     def submit_mesh_request(self, request: Request) -> None:
-        """Queue a request to the mesh address: a peer's message or an operator's request.
+        """Queue a request to the mesh address: a peer message or an operator's request.
 
-        A peer's message is acknowledged at once; its sender expects nothing else.
+        A peer message is acknowledged at once; its sender expects no other response.
         """
         if request.method == "POST" and request.path == PEER_MESSAGES_PATH:
             self.submit(PeerMessage(request.body))
@@ -94,7 +101,7 @@
     # -- running ---------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serve until the process is ended."""
+        """Run the servers and the controller until the process is ended."""
         public, mesh = self._public_server(), self._mesh_server()
         async with anyio.create_task_group() as tasks:
             client = self._client(tasks)
@@ -104,23 +111,28 @@
             await self._run_controller(client)
 
     def _public_server(self) -> Server:
-        """The server for users and machines."""
-        sockets = int(self.settings.facts.machine_limits.sockets * SERVE_SHARE)
-        limit = AdaptiveLimit(MIN_USER_REQUESTS, max(MIN_MAX_USER_REQUESTS, sockets // 2))
+        """Return the server for users and workers."""
+        sockets = int(self.settings.facts.machine_limits.sockets * PUBLIC_SOCKET_SHARE)
+        limit = AdaptiveLimit(MIN_USER_REQUEST_LIMIT, max(MIN_USER_REQUEST_CEILING, sockets // 2))
         return Server(self.settings.serve_on, self.submit, sockets, limit)
 
     def _mesh_server(self) -> Server:
-        """The server for peers and operators."""
-        sockets = max(MIN_SOCKETS, int(self.settings.facts.machine_limits.sockets * MESH_SHARE))
+        """Return the server for peers and operators."""
+        sockets = max(
+            MIN_SOCKETS, int(self.settings.facts.machine_limits.sockets * MESH_SOCKET_SHARE)
+        )
         return Server(self.settings.mesh_addr, self.submit_mesh_request, sockets)
 
     def _client(self, tasks: anyio.abc.TaskGroup) -> Client:
-        """The client for all calls; those to the state service, cloud and peers never queue."""
+        """Return the client for all calls.
+
+        Calls to the state service, the cloud and peers never wait for a socket.
+        """
         limits = self.settings.facts.machine_limits
         endpoints = self.settings.endpoints
         return Client(
             tasks,
-            max(MIN_SOCKETS, int(limits.sockets * CALL_SHARE)),
+            max(MIN_SOCKETS, int(limits.sockets * WORKER_CALL_SOCKET_SHARE)),
             [endpoints.state, endpoints.cloud, *(peer.address for peer in self.settings.peers)],
             ClientLimits(int(MAX_RESPONSE_MEMORY_SHARE * limits.memory_mb * 2**20)),
         )
@@ -131,14 +143,14 @@
             client.close_idle()
 
     async def _run_controller(self, client: Client) -> None:
-        """Run the controller's steps: everything that changes its state happens in this loop."""
+        """Run the controller's steps; its state changes only here."""
         while True:
             if not self._commands:
                 with anyio.move_on_after(TICK_SECONDS):
-                    await self._wake.wait()
-            # What arrives within a moment is one batch: a step has a cost of its own.
+                    await self._wake_event.wait()
+            # Collect more commands into the batch, since each step has a fixed cost.
             await anyio.sleep(BATCH_WINDOW_SECONDS)
-            self._wake = anyio.Event()
+            self._wake_event = anyio.Event()
             self._wake_pending = False
             batch = list(self._commands)
             self._commands.clear()
@@ -150,7 +162,7 @@
         effects = self.controller.step(batch, started_at, time.time())
         seconds = time.monotonic() - started_at
         if seconds > SLOW_STEP_SECONDS:
-            log.info("slow step seconds=%.2f count=%d", seconds, len(batch))
+            log.info("slow controller step seconds=%.2f count=%d", seconds, len(batch))
         return effects
 
     # -- effects ---------------------------------------------------------------------------
@@ -172,4 +184,4 @@
 
 def serve(settings: Settings) -> None:
     """Run a controller until the process is ended."""
-    anyio.run(Service(settings).run, backend="asyncio")
+    anyio.run(ControllerProcess(settings).run, backend="asyncio")
--- a/fallpulley/settings.py
+++ b/fallpulley/settings.py
@@ -1,7 +1,7 @@
-"""Checked settings: the file the platform hands over, and the operators' own beside it.
+"""Loads and checks the settings: the platform's file, and the operators' file beside it.
 
-Names in the platform's file are its own; unknown fields are ignored. What is missing or
-impossible ends the start with a line that names the field.
+The platform defines the names in its file; unknown fields there are ignored. A missing or invalid
+field raises `SettingsError`, which ends the process with a message that names the field.
 """
 
 from __future__ import annotations
@@ -16,35 +16,38 @@
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
-# Conditions and changes in one transaction.
+# Number of changes (puts and deletes) in one transaction.
 TransactionOperations = Annotated[int, Meta(ge=4)]
 
 OPERATORS_FILE = "fallpulley.toml"
 _INSTALLATION = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-# The deployment's own defaults: built into the deployed copy, or under deploy/ in a checkout.
+# The deployment's defaults: the build copies them beside the package, a checkout has them under
+# deploy/.
 DEPLOYED_FILES = (
     os.path.join(_INSTALLATION, OPERATORS_FILE),
     os.path.join(_INSTALLATION, "deploy", OPERATORS_FILE),
 )
 
-# Of the machine's sockets: for users and workers, for other controllers and for calls to workers;
-# the rest is for calls to the state service, the cloud and peers. Every machine of the fleet holds
-# a connection to the controller that serves it, and only one controller may be left.
-SERVE_SHARE, MESH_SHARE, CALL_SHARE = 0.8, 0.04, 0.11
+# Shares of the controller's sockets: for connections of users and workers, for connections of other
+# controllers and operators, and for calls to workers. The rest is for calls to the state service,
+# the cloud and peers. The first is largest because each machine holds a connection to its
+# controller, and one controller may have to serve the whole fleet.
+PUBLIC_SOCKET_SHARE, MESH_SOCKET_SHARE, WORKER_CALL_SOCKET_SHARE = 0.8, 0.04, 0.11
 
-# A cancellation has to leave at least this many lease times, or no time remains beyond a lease.
+# `cancel_s` has to exceed this many leases: the response window is what remains of it after a lease
+# and some slack.
 MIN_CANCEL_LEASES = 1.2
 
 
 class SettingsError(Exception):
-    """The settings cannot be used; the message names the field."""
+    """Raised for settings that are missing or invalid; the message names the file or the field."""
 
 
 # -- the platform's file ---------------------------------------------------------------------
 
 
 class PeerSettings(msgspec.Struct, frozen=True, rename={"controller_id": "label"}):
-    """Another controller, and the `host:port` of its mesh address."""
+    """Another controller; `address` is the `host:port` of its mesh address."""
 
     controller_id: Name
     site: Name
@@ -59,7 +62,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantees and limits in processors and GPUs; a limit of 0 means none."""
+    """A team's guaranteed and maximum processors and GPUs; a maximum of 0 means no limit."""
 
     name: Name
     cpus: NotNegative = 0.0
@@ -69,32 +72,35 @@
 
     @property
     def limited(self) -> bool:
-        """The team may not use more than some number of processors or GPUs."""
+        """Whether the team has a maximum of processors or GPUs."""
         return self.cpus_max > 0 or self.gpus_max > 0
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """What the service is measured by; jobs of a class are ordered by it. Times in seconds."""
+    """An objective that the service is measured by.
+
+    It influences the order in which jobs of its class are placed.
+    """
 
     kind: str
     job_class: str = ""
-    within_s: float | None = None
+    within_s: float | None = None  # seconds
     share: float | None = None
     times: float | None = None
 
 
 class Workers(msgspec.Struct, frozen=True):
-    """The workers' protocol; all in seconds."""
+    """The intervals of the workers' protocol, in seconds."""
 
-    report_s: Positive  # between two heartbeats
-    lease_s: Positive  # a worker without a response for so long stops its tasks
-    cancel_s: Positive  # a cancelled task has ended so long after the cancellation
+    report_s: Positive  # time between two heartbeats
+    lease_s: Positive  # time without a response after which a worker stops its tasks
+    cancel_s: Positive  # time within which a cancelled task has to end
 
 
 class FutureStateLimits(msgspec.Struct, frozen=True):
-    """What the state service will allow from some moment after an upgrade on, unannounced.
+    """Limits of the state service that come into force, unannounced, some time after an upgrade.
 
-    Units are those of `StateLimits`; null: as now.
+    Units are those of `StateLimits`; None means that the limit stays as it is.
     """
 
     rps: Positive | None = None
@@ -104,16 +110,16 @@
 
 
 class StateLimits(msgspec.Struct, frozen=True, rename={"future": "next"}):
-    """What the state service allows all controllers together."""
+    """Limits of the state service, for all controllers together."""
 
-    rps: Positive  # requests a second
-    write_rps: Positive  # changes a second
-    value_kb: Positive  # KiB in one value
-    txn_ops: TransactionOperations  # conditions and changes in one transaction
-    future: FutureStateLimits | None = None
+    rps: Positive  # requests per second
+    write_rps: Positive  # changes per second
+    value_kb: Positive  # size of a value in KiB
+    txn_ops: TransactionOperations  # changes in one transaction
+    future: FutureStateLimits | None = None  # limits that will replace these
 
     def strictest(self) -> StateLimits:
-        """The lesser of what holds now and what is to come, each by itself."""
+        """Return, for each limit, the lower of the present and the future one."""
         future = self.future
         if future is None:
             return self
@@ -126,29 +132,29 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """What the cloud allows all controllers together."""
+    """Limits of the cloud, for all controllers together."""
 
-    rps: Positive  # requests a second
-    list_lag_s: NotNegative  # its list of machines may be out of date by so much
+    rps: Positive  # requests per second
+    list_lag_s: NotNegative  # seconds by which its machine list may be out of date
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What the machine that a controller runs on allows it."""
+    """Resources that a controller may use on the machine it runs on."""
 
-    core_share: Positive = 1.0  # of one processor
-    memory_mb: Positive = 256.0
-    sockets: Annotated[int, Meta(ge=16)] = 1024
+    core_share: Positive = 1.0  # processor time, as a share of one core
+    memory_mb: Positive = 256.0  # MiB
+    sockets: Annotated[int, Meta(ge=16)] = 1024  # open sockets
 
 
 class Facts(msgspec.Struct, frozen=True):
-    """What the platform says about the deployment."""
+    """Facts about the deployment, as the platform states them."""
 
-    nodes: Annotated[int, Meta(ge=1)]  # controllers
+    nodes: Annotated[int, Meta(ge=1)]  # number of controllers
     zones: list[Name]
     workers: Workers
     state: StateLimits
     cloud: CloudLimits
-    skew_ms: NotNegative = 0.0  # between the clocks of two machines
+    skew_ms: NotNegative = 0.0  # maximum difference between the clocks of two machines
     teams: list[Team] = []
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
@@ -161,10 +167,10 @@
     """`[standby]`: followers keep a replica of each owner's decisions (docs/standby.md)."""
 
     enabled: bool = False
-    # An owner sends new decisions to its followers each time so many seconds have passed.
+    # Seconds between two batches of decisions that an owner sends to its followers.
     batch_s: Annotated[float, Meta(ge=0.05, le=30)] = 0.5
-    # With a standby, a controller's session is no longer than so many seconds, whatever
-    # `session_share` says.
+    # Maximum duration of a controller's session in seconds while the standby is enabled, even if
+    # `session_share` gives a longer one.
     session_s: Annotated[float, Meta(ge=0.5, le=60)] = 2.5
 
 
@@ -172,33 +178,35 @@
     """`[shares]`: each controller's shard has a share of the fleet (docs/shares.md)."""
 
     enabled: bool = False
-    # An expression in CEL that gives weights; none: operators set them.
+    # CEL expression that computes the weights; if empty, operators set them.
     policy: str = ""
     # Seconds between two evaluations of the policy.
     policy_every_s: Annotated[float, Meta(ge=5, le=86_400)] = 30.0
 
 
 class DutiesSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[duties]`: actions on machines have one owner each, by a token (docs/duties.md)."""
+    """`[duties]`: each kind of action on machines has one owner with a token (docs/duties.md)."""
 
     enabled: bool = False
 
 
 class Operators(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The operators' own settings, all optional. docs/operations.md explains each."""
+    """The operators' settings, all optional. docs/operations.md explains each."""
 
-    # Share of a worker's lease after which a controller that stopped renewing is replaced.
+    # Duration of a controller's session, as a share of a worker's lease: a controller that has not
+    # renewed its session for so long is replaced.
     session_share: Annotated[float, Meta(ge=0.1, le=1.0)] = 0.25
-    # Queued and running work should drain within this many boot times of a machine.
+    # Time within which queued and running work should complete, in boot times of a machine.
     drain_boots: Annotated[float, Meta(gt=0, le=20)] = 1.3
-    # An idle machine is released after this many boot times.
+    # Time after which an idle machine is released, in boot times of that machine.
     idle_boots: Annotated[float, Meta(ge=0, le=50)] = 0.5
-    # A job that waited this many times its own estimate sorts before all shorter ones.
+    # Waiting time, in multiples of its tasks' estimated run time, after which a job is placed
+    # before all shorter ones.
     age_bound: Annotated[float, Meta(gt=0)] = 6.0
-    # When none of a job's tasks has run so many seconds after its submission, the first ones go
-    # before all other work: users are to see even the largest begin well within four minutes.
+    # Seconds of waiting after which the first tasks of a job are placed before all other work, if
+    # none of its tasks has completed: even the largest jobs should begin well within four minutes.
     begin_bound_s: Annotated[float, Meta(gt=0)] = 90.0
-    # No more than so many machines are rented at a time (0: no limit of the operators').
+    # Maximum number of rented machines; 0 means no limit.
     machines_max: Annotated[int, Meta(ge=0)] = 0
     standby: StandbySettings = StandbySettings()
     shares: SharesSettings = SharesSettings()
@@ -209,12 +217,12 @@
 
 
 class Settings(msgspec.Struct, frozen=True, rename={"controller_id": "label", "peers": "seeds"}):
-    """All settings of one controller; addresses are `host:port`."""
+    """All settings of one controller. Addresses are `host:port`."""
 
     controller_id: Name
     site: Name
-    serve_on: Name  # users and workers reach the controller here
-    mesh_addr: Name  # other controllers and operators' commands reach it here
+    serve_on: Name  # public address, for users and workers
+    mesh_addr: Name  # mesh address, for other controllers and operators' commands
     endpoints: Endpoints
     facts: Facts
     peers: list[PeerSettings] = []
@@ -222,12 +230,16 @@
 
     @property
     def controller_ids(self) -> list[str]:
-        """All controllers of the deployment, this one first."""
+        """The ids of all controllers of the deployment, this one first."""
         return [self.controller_id, *(peer.controller_id for peer in self.peers)]
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """`host:port` as its two parts; raises ValueError when it is neither."""
+    """Split `host:port` into host and port.
+
+    Raises:
+        ValueError: `address` is not of this form.
+    """
     host, colon, port = address.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"not host:port: {address!r}")
@@ -235,9 +247,12 @@
 
 
 def load(path: str) -> Settings:
-    """Read and check the platform's file and the operators' ones, which may be absent.
+    """Read and check the platform's file and the operators' files, which may be absent.
 
-    Raises `SettingsError`. What an optional part checks of its own settings is not included.
+    The checks that optional parts make of their own settings are not included.
+
+    Raises:
+        SettingsError: A file cannot be read, or a setting is missing or invalid.
     """
     try:
         table = _read_toml(path)
@@ -263,8 +278,10 @@
 
 
 def _read_operators(platform_path: str) -> dict[str, object]:
-    """The operators' settings: those of the deployed copy, overridden field by field by the file
-    beside the platform's."""
+    """Return the operators' settings as a table.
+
+    Those of the deployed copy are overridden, field by field, by the file beside the platform's.
+    """
     folder = os.path.dirname(os.path.abspath(platform_path))
     deployed = next((path for path in DEPLOYED_FILES if os.path.exists(path)), None)
     merged: dict[str, object] = {}
@@ -275,7 +292,7 @@
 
 
 def _read_operators_file(path: str) -> dict[str, object]:
-    """One file, checked by itself so that an error names it."""
+    """Read one operators' file and check it by itself, so that errors name the file."""
     try:
         table = _read_toml(path)
         msgspec.convert(table, Operators)
@@ -287,7 +304,7 @@
 
 
 def _merge_table(merged: dict[str, object], table: dict[str, object]) -> None:
-    """Override fields by those of `table`; within a table of fields too."""
+    """Override the fields of `merged` by those of `table`, also within subtables (one level)."""
     for name, value in table.items():
         overridden = merged.get(name)
         if isinstance(value, dict) and isinstance(overridden, dict):
--- a/run.py
+++ b/run.py
@@ -1,13 +1,15 @@
-"""Start fallpulley without installing it: `python3 run.py --config FILE`, from a checkout or from
-the compiled copy that the build makes under target/app."""
+"""Start fallpulley without installing it: `python3 run.py --config FILE`.
+
+Works in a checkout and in the compiled copy that the build makes under target/app.
+"""
 
 import os
 import sys
 
-_HERE = os.path.dirname(os.path.abspath(__file__))
-_ABOVE = os.path.dirname(_HERE)
-_DEPS = (os.path.join(_HERE, "target", "deps"), os.path.join(_ABOVE, "deps"))
-sys.path[:0] = [_HERE, *(path for path in _DEPS if os.path.isdir(path))]
+_ROOT = os.path.dirname(os.path.abspath(__file__))
+_PARENT = os.path.dirname(_ROOT)
+_DEPS = (os.path.join(_ROOT, "target", "deps"), os.path.join(_PARENT, "deps"))
+sys.path[:0] = [_ROOT, *(path for path in _DEPS if os.path.isdir(path))]
 
 from fallpulley.cli import main  # noqa: E402
 
