--- a/fallpulley/shard_sizes.py
+++ b/fallpulley/shard_sizes.py
@@ -1,4 +1,4 @@
-"""The number of shards and their target sizes; pure functions, used by the leader."""
+"""Pure functions for the number and sizes of shards, and shares of the change budget."""
 
 from __future__ import annotations
 
