--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -34,9 +34,9 @@
     validate_shares,
 )
 from fallpulley.shares.targets import plan_moves, target_processors
+from tests.simulated_cluster import CONTROLLER_LABELS, TEAMS, SimulatedCluster
 from tests.test_standby import write_files
 from tests.test_stories import others, submit
-from tests.world import LABELS, TEAMS, World
 
 ON: dict[str, Any] = {"shares": {"enabled": True}, "idle_boots": 50.0}
 EVEN = {"node-0": 1.0, "node-1": 1.0, "node-2": 1.0}
@@ -136,14 +136,14 @@
 # -- the world, and a checker of its own -------------------------------------------------------
 
 
-def check_history(world: World) -> None:
+def check_history(cluster: SimulatedCluster) -> None:
     """From the state service's history and the workers' alone: a machine stands in one block at a
     time, leaves a block for another one or to be released, and takes no task under a token from
     before it came to the block it is in."""
     hosts: dict[str, dict[str, int]] = {}  # block -> machine -> stamp at which it came
-    ran = sorted(world.ran)
+    ran = sorted(cluster.run_responses)
     at = 0
-    for stamp, events in itertools.groupby(world.state.log, key=lambda event: event["stamp"]):
+    for stamp, events in itertools.groupby(cluster.state.log, key=lambda event: event["stamp"]):
         while at < len(ran) and ran[at][0] < stamp:
             _, host, token = ran[at]
             came = [machines[host] for machines in hosts.values() if host in machines]
@@ -164,7 +164,7 @@
         assert before - set(places) <= released, f"a machine in no block at {stamp}"
 
 
-def operator(world: World, label: str, method: str, body: Any = None) -> list[Any]:
+def operator(cluster: SimulatedCluster, label: str, method: str, body: Any = None) -> list[Any]:
     """Send a tool's request; the returned list gets status and body."""
     found: list[Any] = []
 
@@ -172,13 +172,13 @@
         found.extend([status, json.loads(answer) if answer else None])
 
     data = msgspec.json.encode(body) if body is not None else b""
-    world.commands[label].append(OperatorRequest(settle, method, "/shares", data))
+    cluster.commands[label].append(OperatorRequest(settle, method, "/shares", data))
     return found
 
 
-def ask(world: World, label: str, method: str, body: Any = None) -> tuple[int, Any]:
-    found = operator(world, label, method, body)
-    world.until(lambda: bool(found), 6.0)
+def ask(cluster: SimulatedCluster, label: str, method: str, body: Any = None) -> tuple[int, Any]:
+    found = operator(cluster, label, method, body)
+    cluster.run_until(lambda: bool(found), 6.0)
     return found[0], found[1]
 
 
@@ -187,130 +187,137 @@
     return SetShares(shares, operation, expect)
 
 
-def sizes(world: World) -> dict[str, int]:
+def sizes(cluster: SimulatedCluster) -> dict[str, int]:
     return {
         key[len("live/block/") :]: len(decode_shard(json.dumps(record).encode()).machines)
-        for key, record in world.blocks().items()
+        for key, record in cluster.shards().items()
     }
 
 
-def shared(weights: dict[str, float], machines: int = 9, **over: Any) -> World:
+def shared(weights: dict[str, float], machines: int = 9, **over: Any) -> SimulatedCluster:
     """A world whose machines are shared so."""
-    world = World(machines, operators=ON | over)
-    world.capacity = machines
-    world.until(lambda: bool(world.blocks()), 8.0)
-    world.run(4.0)
-    status, answer = ask(world, "node-0", "POST", wish(weights, "first"))
+    cluster = SimulatedCluster(machines, operators=ON | over)
+    cluster.capacity = machines
+    cluster.run_until(lambda: bool(cluster.shards()), 8.0)
+    cluster.run(4.0)
+    status, answer = ask(cluster, "node-0", "POST", wish(weights, "first"))
     assert status == 200 and answer["revision"] == 1
-    world.until(lambda: len(sizes(world)) == len(weights), 10.0)
-    return world
+    cluster.run_until(lambda: len(sizes(cluster)) == len(weights), 10.0)
+    return cluster
 
 
-def placed(world: World, wanted: dict[str, int]) -> bool:
-    return sizes(world) == wanted
+def placed(cluster: SimulatedCluster, wanted: dict[str, int]) -> bool:
+    return sizes(cluster) == wanted
 
 
 def test_idle_machines_move_at_once_and_every_controller_tells_the_same() -> None:
-    world = shared({"node-0": 2.0, "node-1": 1.0})
-    world.until(lambda: placed(world, {"node-0": 6, "node-1": 3}), 20.0)
-    for label in LABELS:
-        status, answer = ask(world, label, "GET")
+    cluster = shared({"node-0": 2.0, "node-1": 1.0})
+    cluster.run_until(lambda: placed(cluster, {"node-0": 6, "node-1": 3}), 20.0)
+    for label in CONTROLLER_LABELS:
+        status, answer = ask(cluster, label, "GET")
         assert status == 200 and answer["converged"] and answer["revision"] == 1
         assert [block["target"] for block in answer["blocks"]] == [48.0, 24.0]
-    world.run(10.0)
-    assert placed(world, {"node-0": 6, "node-1": 3})
-    check_history(world)
+    cluster.run(10.0)
+    assert placed(cluster, {"node-0": 6, "node-1": 3})
+    check_history(cluster)
 
 
 def test_without_a_table_no_target_is_shown_and_each_blocks_holder_is_named(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     """A target of 0 and `converged` once stood side by side, and tables did not name holders."""
-    world = World(4, operators=ON)
-    world.capacity = 4
-    world.until(lambda: bool(world.blocks()), 8.0)
-    world.run(4.0)
-    status, found = ask(world, "node-1", "GET")
+    cluster = SimulatedCluster(4, operators=ON)
+    cluster.capacity = 4
+    cluster.run_until(lambda: bool(cluster.shards()), 8.0)
+    cluster.run(4.0)
+    status, found = ask(cluster, "node-1", "GET")
     assert status == 200 and found["converged"] and found["blocks"][0]["target"] is None
     print_shares(msgspec.convert(found, SharesResponse), as_json=False)
     (row,) = [line for line in capsys.readouterr().out.splitlines() if "converged" in line]
-    assert row.split() == [found["blocks"][0]["block"], world.holder(), "-", "32", "4", "converged"]
+    assert row.split() == [
+        found["blocks"][0]["block"],
+        cluster.owner(),
+        "-",
+        "32",
+        "4",
+        "converged",
+    ]
 
 
 def test_a_share_below_what_runs_waits_for_the_tasks_and_stops_none() -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
-    world.until(lambda: placed(world, {"node-0": 4, "node-1": 4}), 20.0)
-    jobs = [submit(world, n, pieces=8) for n in range(1, 5)]
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 4, "node-1": 4}), 20.0)
+    jobs = [submit(cluster, n, pieces=8) for n in range(1, 5)]
     for job in jobs:
-        world.times[job] = 25.0
-    world.until(lambda: len(world.running()) == 16, 20.0)
-    before = set(world.running())
-    status, answer = ask(world, "node-2", "POST", wish({"node-0": 7.0, "node-1": 1.0}, "second"))
+        cluster.task_durations_s[job] = 25.0
+    cluster.run_until(lambda: len(cluster.running_tasks()) == 16, 20.0)
+    before = set(cluster.running_tasks())
+    status, answer = ask(cluster, "node-2", "POST", wish({"node-0": 7.0, "node-1": 1.0}, "second"))
     assert status == 200
-    world.run(6.0)
-    giver = world.blocks()["live/block/node-1"]["holder"]
-    _, answer = ask(world, giver, "GET")
+    cluster.run(6.0)
+    giver = cluster.shards()["live/block/node-1"]["holder"]
+    _, answer = ask(cluster, giver, "GET")
     (state,) = [block for block in answer["blocks"] if block["block"] == "node-1"]
     assert state["state"] == "waiting for tasks" and state["draining"] == 3
-    assert before <= set(world.running()) and sizes(world)["node-1"] == 4
-    world.until(lambda: placed(world, {"node-0": 7, "node-1": 1}), 60.0)
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 120.0)
-    assert not world.stopped
-    check_history(world)
+    assert before <= set(cluster.running_tasks()) and sizes(cluster)["node-1"] == 4
+    cluster.run_until(lambda: placed(cluster, {"node-0": 7, "node-1": 1}), 60.0)
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 120.0)
+    assert not cluster.stopped_tasks
+    check_history(cluster)
 
 
 def test_a_share_that_grows_again_before_it_has_drained_keeps_its_machines() -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
-    world.until(lambda: placed(world, {"node-0": 4, "node-1": 4}), 20.0)
-    jobs = [submit(world, n, pieces=8) for n in range(1, 5)]
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 4, "node-1": 4}), 20.0)
+    jobs = [submit(cluster, n, pieces=8) for n in range(1, 5)]
     for job in jobs:
-        world.times[job] = 20.0
-    world.until(lambda: len(world.running()) == 16, 20.0)
-    ask(world, "node-2", "POST", wish({"node-0": 7.0, "node-1": 1.0}, "second"))
-    world.run(3.0)
-    ask(world, "node-2", "POST", wish({"node-0": 1.0, "node-1": 1.0}, "third"))
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 120.0)
-    assert placed(world, {"node-0": 4, "node-1": 4}) and not world.stopped
-    check_history(world)
+        cluster.task_durations_s[job] = 20.0
+    cluster.run_until(lambda: len(cluster.running_tasks()) == 16, 20.0)
+    ask(cluster, "node-2", "POST", wish({"node-0": 7.0, "node-1": 1.0}, "second"))
+    cluster.run(3.0)
+    ask(cluster, "node-2", "POST", wish({"node-0": 1.0, "node-1": 1.0}, "third"))
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 120.0)
+    assert placed(cluster, {"node-0": 4, "node-1": 4}) and not cluster.stopped_tasks
+    check_history(cluster)
 
 
 def test_a_share_that_shrinks_to_nothing_ends_its_jobs_first() -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=6)
-    world.until(lambda: placed(world, {"node-0": 3, "node-1": 3}), 20.0)
-    jobs = [submit(world, n, pieces=6) for n in range(1, 7)]
-    world.run(2.0)
-    ask(world, "node-0", "POST", wish({"node-0": 1.0}, "second"))
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 120.0)
-    world.until(lambda: placed(world, {"node-0": 6, "node-1": 0}), 30.0)
-    last = submit(world, 9)
-    world.until(lambda: world.stage(last) == "done", 40.0)
-    check_history(world)
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=6)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 3, "node-1": 3}), 20.0)
+    jobs = [submit(cluster, n, pieces=6) for n in range(1, 7)]
+    cluster.run(2.0)
+    ask(cluster, "node-0", "POST", wish({"node-0": 1.0}, "second"))
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 120.0)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 6, "node-1": 0}), 30.0)
+    last = submit(cluster, 9)
+    cluster.run_until(lambda: cluster.job_state(last) == "done", 40.0)
+    check_history(cluster)
 
 
 def test_of_two_changes_at_the_same_moment_one_wins_and_the_other_is_told() -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0})
-    one = operator(world, "node-0", "POST", wish({"node-0": 3.0}, "one", 1))
-    two = operator(world, "node-1", "POST", wish({"node-1": 3.0}, "two", 1))
-    world.until(lambda: bool(one and two), 6.0)
+    cluster = shared({"node-0": 1.0, "node-1": 1.0})
+    one = operator(cluster, "node-0", "POST", wish({"node-0": 3.0}, "one", 1))
+    two = operator(cluster, "node-1", "POST", wish({"node-1": 3.0}, "two", 1))
+    cluster.run_until(lambda: bool(one and two), 6.0)
     assert sorted([one[0], two[0]]) == [200, 409]
     lost, won = (one, two) if one[0] == 409 else (two, one)
     assert lost[1]["revision"] == won[1]["revision"] == 2
-    for label in LABELS:
-        assert ask(world, label, "GET")[1]["revision"] == 2
+    for label in CONTROLLER_LABELS:
+        assert ask(cluster, label, "GET")[1]["revision"] == 2
 
 
 def test_a_winner_whose_answer_was_lost_gets_it_when_it_asks_again() -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0})
-    for label in LABELS:
-        world.unanswered[label] = 0.0
+    cluster = shared({"node-0": 1.0, "node-1": 1.0})
+    for label in CONTROLLER_LABELS:
+        cluster.unanswered_transactions[label] = 0.0
     request = wish({"node-0": 1.0, "node-2": 2.0}, "again", 1)
-    first = ask(world, "node-1", "POST", request)
-    world.unanswered.clear()
+    first = ask(cluster, "node-1", "POST", request)
+    cluster.unanswered_transactions.clear()
     for label in ("node-1", "node-0"):
-        status, answer = ask(world, label, "POST", request)
+        status, answer = ask(cluster, label, "POST", request)
         assert status == 200 and answer["revision"] == 2
     assert first[0] in (200, 503)
-    assert ask(world, "node-2", "POST", wish({"node-0": 1.0}, "late", 1))[0] == 409
+    assert ask(cluster, "node-2", "POST", wish({"node-0": 1.0}, "late", 1))[0] == 409
 
 
 @pytest.mark.parametrize("whom", ["giver", "taker", "leader"])
@@ -319,33 +326,33 @@
 def test_an_end_or_a_freeze_around_a_move_promises_no_machine_twice(
     whom: str, frozen: bool, moment_s: float
 ) -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
-    world.until(lambda: placed(world, {"node-0": 4, "node-1": 4}), 20.0)
-    jobs = [submit(world, n, pieces=6) for n in range(1, 6)]
-    world.run(2.0)
-    ask(world, "node-2", "POST", wish({"node-0": 1.0, "node-1": 3.0}, "second"))
-    world.run(moment_s)
-    holders = {key[-6:]: record["holder"] for key, record in world.blocks().items()}
-    leader = world.state.data["live/leader"][0]["label"]
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 4, "node-1": 4}), 20.0)
+    jobs = [submit(cluster, n, pieces=6) for n in range(1, 6)]
+    cluster.run(2.0)
+    ask(cluster, "node-2", "POST", wish({"node-0": 1.0, "node-1": 3.0}, "second"))
+    cluster.run(moment_s)
+    holders = {key[-6:]: record["holder"] for key, record in cluster.shards().items()}
+    leader = cluster.state.entries["live/leader"][0]["label"]
     victim = {"giver": holders["node-0"], "taker": holders["node-1"], "leader": leader}[whom]
     if frozen:
-        world.paused.add(victim)
+        cluster.paused_controllers.add(victim)
     else:
-        world.crash(victim)
-    world.run(7.0)
-    world.paused.discard(victim)
-    if victim not in world.controllers:
-        world.boot(victim)
-    world.until(lambda: placed(world, {"node-0": 2, "node-1": 6}), 90.0)
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 120.0)
-    check_history(world)
+        cluster.crash(victim)
+    cluster.run(7.0)
+    cluster.paused_controllers.discard(victim)
+    if victim not in cluster.controllers:
+        cluster.start_controller(victim)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 2, "node-1": 6}), 90.0)
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 120.0)
+    check_history(cluster)
 
 
 @pytest.mark.parametrize("slow_s", [0.0, 0.3, 0.8])
 def test_two_givers_and_the_takers_own_changes_meet_in_one_record(slow_s: float) -> None:
-    world = shared(EVEN, machines=12)
-    world.until(lambda: placed(world, {"node-0": 4, "node-1": 4, "node-2": 4}), 40.0)
-    world.slow_s = slow_s
+    cluster = shared(EVEN, machines=12)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 4, "node-1": 4, "node-2": 4}), 40.0)
+    cluster.state_delay_s = slow_s
     for turn, weights in enumerate(
         [
             {"node-0": 8.0, "node-1": 1.0, "node-2": 1.0},
@@ -353,128 +360,134 @@
             {"node-0": 1.0, "node-1": 1.0, "node-2": 8.0},
         ]
     ):
-        ask(world, LABELS[turn], "POST", wish(weights, f"turn-{turn}"))
-        submit(world, turn + 1, pieces=5)
-        world.run(5.0)
-    world.slow_s = 0.0
-    world.until(lambda: sizes(world)["node-2"] >= 9, 60.0)
-    check_history(world)
+        ask(cluster, CONTROLLER_LABELS[turn], "POST", wish(weights, f"turn-{turn}"))
+        submit(cluster, turn + 1, pieces=5)
+        cluster.run(5.0)
+    cluster.state_delay_s = 0.0
+    cluster.run_until(lambda: sizes(cluster)["node-2"] >= 9, 60.0)
+    check_history(cluster)
 
 
 @pytest.mark.parametrize("moment_s", [0.0, 0.3, 1.0])
 def test_a_machine_taken_back_in_the_middle_of_a_move_is_in_no_block_in_the_end(
     moment_s: float,
 ) -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
-    world.until(lambda: placed(world, {"node-0": 4, "node-1": 4}), 20.0)
-    jobs = [submit(world, n, pieces=6) for n in range(1, 5)]
-    ask(world, "node-2", "POST", wish({"node-0": 1.0, "node-1": 3.0}, "second"))
-    world.run(moment_s)
-    gone = sorted(world.workers)[:3]
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 4, "node-1": 4}), 20.0)
+    jobs = [submit(cluster, n, pieces=6) for n in range(1, 5)]
+    ask(cluster, "node-2", "POST", wish({"node-0": 1.0, "node-1": 3.0}, "second"))
+    cluster.run(moment_s)
+    gone = sorted(cluster.workers)[:3]
     for host in gone:
-        del world.workers[host]
-    world.capacity = 5
-    world.until(lambda: sum(sizes(world).values()) == 5, 90.0)
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 120.0)
+        del cluster.workers[host]
+    cluster.capacity = 5
+    cluster.run_until(lambda: sum(sizes(cluster).values()) == 5, 90.0)
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 120.0)
     places = [
         host
-        for record in world.blocks().values()
+        for record in cluster.shards().values()
         for host in decode_shard(json.dumps(record).encode()).machines
     ]
     assert not set(places) & set(gone)
-    check_history(world)
+    check_history(cluster)
 
 
 def test_records_near_their_size_limit_take_no_more_machines_than_fit() -> None:
     """Addresses that follow no pattern fill the records; the limits of the state service come."""
     limits = {"rps": 200.0, "write_rps": 90.0, "value_kb": 16.0, "txn_ops": 16}
-    world = World(0, operators=ON, state=limits | {"next": {"value_kb": 1.0, "txn_ops": 8}})
+    cluster = SimulatedCluster(
+        0, operators=ON, state=limits | {"next": {"value_kb": 1.0, "txn_ops": 8}}
+    )
     chance = random.Random(4)
     for at in range(40):
-        host = world.machine("ab"[at % 2], spot=False)
+        host = cluster.add_machine("ab"[at % 2], spot=False)
         address = ".".join(str(chance.randint(1, 250)) for _ in range(4))
-        world.workers[host].addr = f"{address}:{chance.randint(1000, 60000)}"
-    world.capacity = 40
-    world.until(lambda: "live/format" in world.state.data, 15.0)
-    world.run(10.0)
-    world.state.value_bytes, world.state.txn_ops = 1024, 8
-    world.state.refusals = 0
+        cluster.workers[host].address = f"{address}:{chance.randint(1000, 60000)}"
+    cluster.capacity = 40
+    cluster.run_until(lambda: "live/format" in cluster.state.entries, 15.0)
+    cluster.run(10.0)
+    cluster.state.value_bytes, cluster.state.txn_ops = 1024, 8
+    cluster.state.oversized_transactions = 0
     for turn, weights in enumerate(
         ({"node-0": 5.0, "node-1": 1.0}, {"node-0": 1.0, "node-1": 5.0})
     ):
-        assert ask(world, LABELS[turn], "POST", wish(weights, f"turn-{turn}"))[0] == 200
-        jobs = [submit(world, 10 * turn + n, pieces=4) for n in range(1, 4)]
-        world.until(lambda jobs=jobs: all(world.stage(job) == "done" for job in jobs), 90.0)
-        world.run(10.0)
-    assert world.state.refusals == 0
-    assert sum(sizes(world).values()) == 40
-    check_history(world)
+        assert (
+            ask(cluster, CONTROLLER_LABELS[turn], "POST", wish(weights, f"turn-{turn}"))[0] == 200
+        )
+        jobs = [submit(cluster, 10 * turn + n, pieces=4) for n in range(1, 4)]
+        cluster.run_until(
+            lambda jobs=jobs: all(cluster.job_state(job) == "done" for job in jobs), 90.0
+        )
+        cluster.run(10.0)
+    assert cluster.state.oversized_transactions == 0
+    assert sum(sizes(cluster).values()) == 40
+    check_history(cluster)
 
 
 def test_an_absent_controllers_share_stays_with_the_holder_and_returns_with_it() -> None:
-    world = shared(EVEN)
-    world.until(lambda: placed(world, {"node-0": 3, "node-1": 3, "node-2": 3}), 30.0)
-    world.crash("node-2")
-    world.until(lambda: world.blocks()["live/block/node-2"]["holder"] != "node-2", 15.0)
-    world.run(5.0)
-    assert sizes(world)["node-2"] == 3
-    world.boot("node-2")
-    world.until(lambda: world.blocks()["live/block/node-2"]["holder"] == "node-2", 60.0)
-    check_history(world)
+    cluster = shared(EVEN)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 3, "node-1": 3, "node-2": 3}), 30.0)
+    cluster.crash("node-2")
+    cluster.run_until(lambda: cluster.shards()["live/block/node-2"]["holder"] != "node-2", 15.0)
+    cluster.run(5.0)
+    assert sizes(cluster)["node-2"] == 3
+    cluster.start_controller("node-2")
+    cluster.run_until(lambda: cluster.shards()["live/block/node-2"]["holder"] == "node-2", 60.0)
+    check_history(cluster)
 
 
 def test_a_teams_new_jobs_go_to_its_share_and_a_limited_team_stays_where_it_lives() -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=6)
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=6)
     table = {"node-0": Share(1.0), "node-1": Share(1.0, teams=["crew", "small"])}
-    assert ask(world, "node-0", "POST", SetShares(table, "teams"))[0] == 200
+    assert ask(cluster, "node-0", "POST", SetShares(table, "teams"))[0] == 200
     for n, crew in enumerate(["crew", "small", "crew"], 1):
-        uid = submit(world, n, label="node-2", crew=crew, pieces=2)
-        record = world.state.data[f"live/job/{uid}"][0]
+        uid = submit(cluster, n, label="node-2", crew=crew, pieces=2)
+        record = cluster.state.entries[f"live/job/{uid}"][0]
         assert record["block"] == "node-1"
     other = {"node-0": Share(1.0, teams=["small"]), "node-1": Share(1.0)}
-    status, answer = ask(world, "node-0", "POST", SetShares(other, "elsewhere"))
+    status, answer = ask(cluster, "node-0", "POST", SetShares(other, "elsewhere"))
     assert status == 422 and "lives in block node-1" in answer["reason"]
-    assert ask(world, "node-1", "GET")[1]["revision"] == 2
+    assert ask(cluster, "node-1", "GET")[1]["revision"] == 2
 
 
 def test_one_side_that_floods_leaves_the_other_its_share() -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=8)
     table = {"node-0": Share(1.0, teams=["crew"]), "node-1": Share(1.0, teams=["flood"])}
-    assert ask(world, "node-0", "POST", SetShares(table, "teams"))[0] == 422
+    assert ask(cluster, "node-0", "POST", SetShares(table, "teams"))[0] == 422
     table["node-1"] = Share(1.0, teams=["small"])
-    assert ask(world, "node-0", "POST", SetShares(table, "teams"))[0] == 200
-    world.until(lambda: placed(world, {"node-0": 4, "node-1": 4}), 20.0)
-    flood = submit(world, 1, pieces=400)
-    world.times[flood] = 20.0
-    world.run(5.0)
-    urgent = submit(world, 2, crew="small", pieces=2)
-    world.until(lambda: world.stage(urgent) == "done", 15.0)
+    assert ask(cluster, "node-0", "POST", SetShares(table, "teams"))[0] == 200
+    cluster.run_until(lambda: placed(cluster, {"node-0": 4, "node-1": 4}), 20.0)
+    flood = submit(cluster, 1, pieces=400)
+    cluster.task_durations_s[flood] = 20.0
+    cluster.run(5.0)
+    urgent = submit(cluster, 2, crew="small", pieces=2)
+    cluster.run_until(lambda: cluster.job_state(urgent) == "done", 15.0)
 
 
 @pytest.mark.parametrize("off", ["node-0", "node-1"])
 def test_a_controller_without_shares_among_the_others_harms_nothing(off: str) -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=6)
-    world.crash(off)
-    world.boot(off, operators={"idle_boots": 50.0})
-    world.run(6.0)
-    assert ask(world, off, "GET")[0] == 404
-    jobs = [submit(world, n, label=others(off)[0], pieces=4) for n in range(1, 4)]
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 90.0)
-    check_history(world)
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=6)
+    cluster.crash(off)
+    cluster.start_controller(off, operators={"idle_boots": 50.0})
+    cluster.run(6.0)
+    assert ask(cluster, off, "GET")[0] == 404
+    jobs = [submit(cluster, n, label=others(off)[0], pieces=4) for n in range(1, 4)]
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 90.0)
+    check_history(cluster)
 
 
 def test_shares_moved_faster_than_they_can_be_met_keep_to_the_budget_of_changes() -> None:
-    world = shared({"node-0": 1.0, "node-1": 1.0}, machines=12)
-    world.run(10.0)
-    before, began = world.state.changes, world.now
+    cluster = shared({"node-0": 1.0, "node-1": 1.0}, machines=12)
+    cluster.run(10.0)
+    before, began = cluster.state.changes, cluster.now
     for turn in range(40):
         weights = {"node-0": 5.0, "node-1": 1.0} if turn % 2 else {"node-0": 1.0, "node-1": 5.0}
-        operator(world, LABELS[turn % 3], "POST", wish(weights, f"turn-{turn}"))
-        world.run(0.5)
-    used = world.state.changes - before
-    assert used <= 40 + 0.25 * 90.0 * (world.now - began)
-    world.until(lambda: placed(world, {"node-0": 10, "node-1": 2}), 40.0)
-    check_history(world)
+        operator(cluster, CONTROLLER_LABELS[turn % 3], "POST", wish(weights, f"turn-{turn}"))
+        cluster.run(0.5)
+    used = cluster.state.changes - before
+    assert used <= 40 + 0.25 * 90.0 * (cluster.now - began)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 10, "node-1": 2}), 40.0)
+    check_history(cluster)
 
 
 @seed(5)
@@ -483,50 +496,50 @@
 def test_shares_shifted_every_few_seconds_under_load_and_drawn_troubles(number: int) -> None:
     """Ends, pauses, cuts, late and unanswered transactions; one team with a limit."""
     chance = random.Random(number)
-    world = shared(EVEN, machines=9)
+    cluster = shared(EVEN, machines=9)
     jobs: list[str] = []
     for turn in range(8):
-        weights = {label: chance.choice([0.5, 1.0, 4.0]) for label in LABELS}
-        there = [label for label in world.controllers if label not in world.paused]
-        operator(world, chance.choice(there), "POST", wish(weights, f"turn-{turn}"))
-        world.run(0.5)
+        weights = {label: chance.choice([0.5, 1.0, 4.0]) for label in CONTROLLER_LABELS}
+        there = [label for label in cluster.controllers if label not in cluster.paused_controllers]
+        operator(cluster, chance.choice(there), "POST", wish(weights, f"turn-{turn}"))
+        cluster.run(0.5)
         crew = chance.choice(TEAMS)["name"]
         for n in range(2):
-            found = world.ask(
+            found = cluster.send_request(
                 chance.choice(there),
                 "POST",
                 "/work",
                 job_of(10 * turn + n, crew, chance.randint(1, 5)),
             )
-            world.run(0.4)
+            cluster.run(0.4)
             if found and found[0] == 201:
                 jobs.append(f"job-{10 * turn + n:06d}")
-        victim = chance.choice(LABELS)
+        victim = chance.choice(CONTROLLER_LABELS)
         trouble = chance.choice(["none", "crash", "pause", "cut", "late", "unanswered"])
         if trouble == "crash":
-            world.crash(victim)
+            cluster.crash(victim)
         elif trouble == "pause":
-            world.paused.add(victim)
+            cluster.paused_controllers.add(victim)
         elif trouble == "cut":
-            world.cut.add((victim, "state"))
+            cluster.partitions.add((victim, "state"))
         elif trouble in ("late", "unanswered"):
-            world.unanswered[victim] = 1.5 if trouble == "late" else 0.0
-        world.run(chance.choice([1.0, 3.0, 6.0]))
-        world.paused.clear()
-        world.cut.clear()
-        world.unanswered.clear()
-        if victim not in world.controllers:
-            world.boot(victim)
-        world.run(1.0)
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 250.0)
-    assert not world.stopped
-    check_history(world)
+            cluster.unanswered_transactions[victim] = 1.5 if trouble == "late" else 0.0
+        cluster.run(chance.choice([1.0, 3.0, 6.0]))
+        cluster.paused_controllers.clear()
+        cluster.partitions.clear()
+        cluster.unanswered_transactions.clear()
+        if victim not in cluster.controllers:
+            cluster.start_controller(victim)
+        cluster.run(1.0)
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 250.0)
+    assert not cluster.stopped_tasks
+    check_history(cluster)
 
 
 def job_of(uid: int, crew: str, pieces: int) -> dict[str, Any]:
-    from tests.world import job
+    from tests.simulated_cluster import job_spec
 
-    return job(uid, crew=crew, pieces=pieces, expect_s=3.0)
+    return job_spec(uid, crew=crew, pieces=pieces, expect_s=3.0)
 
 
 # -- the policy --------------------------------------------------------------------------------
@@ -592,19 +605,19 @@
 def test_the_leader_alone_follows_the_policy(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
     policy = "{'node-0': 1.0, 'node-1': load['node-1'] > 5.0 ? 3.0 : 1.0}"
-    world = shared(
+    cluster = shared(
         {"node-0": 1.0, "node-1": 1.0},
         machines=8,
         shares={"enabled": True, "policy": policy, "policy_every_s": 5.0},
     )
     table = {"node-0": Share(1.0), "node-1": Share(1.0, teams=["crew"])}
-    assert ask(world, "node-0", "POST", SetShares(table, "teams"))[0] == 200
-    world.until(lambda: placed(world, {"node-0": 4, "node-1": 4}), 30.0)
-    job = submit(world, 1, pieces=120, expect_s=4.0)
-    world.until(lambda: placed(world, {"node-0": 2, "node-1": 6}), 40.0)
+    assert ask(cluster, "node-0", "POST", SetShares(table, "teams"))[0] == 200
+    cluster.run_until(lambda: placed(cluster, {"node-0": 4, "node-1": 4}), 30.0)
+    job = submit(cluster, 1, pieces=120, expect_s=4.0)
+    cluster.run_until(lambda: placed(cluster, {"node-0": 2, "node-1": 6}), 40.0)
     assert "share policy applied weights=" in caplog.text
-    world.until(lambda: world.stage(job) == "done", 120.0)
-    check_history(world)
+    cluster.run_until(lambda: cluster.job_state(job) == "done", 120.0)
+    check_history(cluster)
 
 
 # -- the command -------------------------------------------------------------------------------
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -42,9 +42,9 @@
 )
 from fallpulley.standby.replica import GapError, MachineCopy, Replica, Snapshot, apply_entries
 from fallpulley.standby.service import Standby
+from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster
 from tests.test_edges import GOOD
 from tests.test_stories import others, ready, submit
-from tests.world import LABELS, World
 
 ON: dict[str, Any] = {"standby": {"enabled": True, "batch_s": 0.2, "session_s": 2.0}}
 ROOT = pathlib.Path(__file__).parent.parent
@@ -59,21 +59,23 @@
     return standby
 
 
-def holder_of(world: World) -> Controller:
-    return world.controllers[world.holder()]
+def holder_of(cluster: SimulatedCluster) -> Controller:
+    return cluster.controllers[cluster.owner()]
 
 
-def replica_of(world: World, label: str) -> Replica | None:
-    followed = standby_of(world.controllers[label]).follower.shards
+def replica_of(cluster: SimulatedCluster, label: str) -> Replica | None:
+    followed = standby_of(cluster.controllers[label]).follower.shards
     return next((block.replica for block in followed.values()), None)
 
 
-def warm(machines: int = 3, **facts: object) -> World:
+def warm(machines: int = 3, **facts: object) -> SimulatedCluster:
     """A world whose followers have a replica."""
-    world = ready(machines, operators=ON, **facts)
-    world.capacity = machines
-    world.until(lambda: all(replica_of(world, label) for label in others(world.holder())), 10.0)
-    return world
+    cluster = ready(machines, operators=ON, **facts)
+    cluster.capacity = machines
+    cluster.run_until(
+        lambda: all(replica_of(cluster, label) for label in others(cluster.owner())), 10.0
+    )
+    return cluster
 
 
 def on_machines(replica: Replica) -> dict[str, int]:
@@ -263,23 +265,23 @@
 
 
 def test_followers_know_what_the_holder_decided_and_a_successor_estimates_as_it_did() -> None:
-    world = warm()
-    first = submit(world, 1, pieces=12, expect_s=2.0)
-    world.until(lambda: world.stage(first) == "done", 60.0)
-    long = submit(world, 2, pieces=5, kit="other")
-    world.times[long] = 30.0
-    world.until(lambda: len(world.running(long)) == 5, 20.0)
-    world.run(1.5)
-    old = holder_of(world)
+    cluster = warm()
+    first = submit(cluster, 1, pieces=12, expect_s=2.0)
+    cluster.run_until(lambda: cluster.job_state(first) == "done", 60.0)
+    long = submit(cluster, 2, pieces=5, kit="other")
+    cluster.task_durations_s[long] = 30.0
+    cluster.run_until(lambda: len(cluster.running_tasks(long)) == 5, 20.0)
+    cluster.run(1.5)
+    old = holder_of(cluster)
     held = next(iter(old.parts.owned.shards.values()))
     runs = {run.task_id: run.attempt for run in held.runs()}
-    for label in others(world.holder()):
-        replica = replica_of(world, label)
+    for label in others(cluster.owner()):
+        replica = replica_of(cluster, label)
         assert replica is not None and on_machines(replica) == runs
-    world.crash(world.holder())
-    world.until(lambda: world.holder() in world.controllers, 10.0)
-    world.run(0.3)
-    new = next(iter(holder_of(world).parts.owned.shards.values()))
+    cluster.crash(cluster.owner())
+    cluster.run_until(lambda: cluster.owner() in cluster.controllers, 10.0)
+    cluster.run(0.3)
+    new = next(iter(holder_of(cluster).parts.owned.shards.values()))
     assert new.corrections.factor("work") == pytest.approx(held.corrections.factor("work"), 1e-3)
     assert new.corrections.factor("work") > 1.0
     assert all("other" in new.machines[run.machine_id].images.cached for run in held.runs())
@@ -291,56 +293,60 @@
 ) -> None:
     """The world watches that no machine gets any before it has reported under the new token. From a
     frozen holder each worker has to turn away first: its machines are confirmed in time."""
-    world = warm(machines=4)
-    steady = [submit(world, n, pieces=2) for n in range(1, 4)]
-    world.run(2.0)
-    waiting = submit(world, 9, pieces=20)
-    world.run(1.0)
-    before = len(world.starts_seen)
-    old, silent_at = world.holder(), world.now
+    cluster = warm(machines=4)
+    steady = [submit(cluster, n, pieces=2) for n in range(1, 4)]
+    cluster.run(2.0)
+    waiting = submit(cluster, 9, pieces=20)
+    cluster.run(1.0)
+    before = len(cluster.task_starts)
+    old, silent_at = cluster.owner(), cluster.now
     if frozen:
-        world.paused.add(old)
+        cluster.paused_controllers.add(old)
     else:
-        world.crash(old)
-    world.until(lambda: world.holder() != old, FIVE_S)
-    held_at = world.now
-    world.until(lambda: bool(holder_of(world).parts.owned.shards), 1.0)
-    new = next(iter(holder_of(world).parts.owned.shards.values()))
-    world.until(lambda: not new.unreconciled, FIVE_S - (held_at - silent_at))
-    world.until(lambda: any(at > held_at for at, _, _ in world.starts_seen[before:]), 10.0)
-    assert world.now - silent_at < FIVE_S + (REPORT_TIMEOUT_S - 2.0 if frozen else 0.0)
+        cluster.crash(old)
+    cluster.run_until(lambda: cluster.owner() != old, FIVE_S)
+    held_at = cluster.now
+    cluster.run_until(lambda: bool(holder_of(cluster).parts.owned.shards), 1.0)
+    new = next(iter(holder_of(cluster).parts.owned.shards.values()))
+    cluster.run_until(lambda: not new.unreconciled, FIVE_S - (held_at - silent_at))
+    cluster.run_until(lambda: any(at > held_at for at, _, _ in cluster.task_starts[before:]), 10.0)
+    assert cluster.now - silent_at < FIVE_S + (REPORT_TIMEOUT_S - 2.0 if frozen else 0.0)
     if frozen:
-        world.paused.discard(old)
-    world.until(lambda: all(world.stage(job) == "done" for job in [*steady, waiting]), 120.0)
+        cluster.paused_controllers.discard(old)
+    cluster.run_until(
+        lambda: all(cluster.job_state(job) == "done" for job in [*steady, waiting]), 120.0
+    )
 
 
 def test_a_frozen_holder_wakes_finds_itself_replaced_and_changes_nothing(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level("INFO")
-    world = warm()
-    long = submit(world, 1, pieces=4)
-    world.times[long] = 25.0
-    more = submit(world, 2, pieces=12)
-    world.run(3.0)
-    old = world.holder()
-    world.paused.add(old)
-    world.until(lambda: world.holder() != old, 8.0)
-    world.run(4.0)
+    cluster = warm()
+    long = submit(cluster, 1, pieces=4)
+    cluster.task_durations_s[long] = 25.0
+    more = submit(cluster, 2, pieces=12)
+    cluster.run(3.0)
+    old = cluster.owner()
+    cluster.paused_controllers.add(old)
+    cluster.run_until(lambda: cluster.owner() != old, 8.0)
+    cluster.run(4.0)
     # What it decided before it froze and had not sent yet comes now, under its old token.
-    log = next(iter(standby_of(world.controllers[old]).streams.values())).log
+    log = next(iter(standby_of(cluster.controllers[old]).streams.values())).log
     log.machine_occupancy_changed("vm-000001", True)
     log.machine_released("vm-000001")
-    third = next(label for label in others(old) if label != world.holder())
-    world.paused.discard(old)
-    world.run(3.0)
-    assert "owner replaced shard=" in caplog.text and not world.controllers[old].parts.owned.shards
-    followed = next(iter(standby_of(world.controllers[third]).follower.shards.values()))
-    assert followed.owner == world.holder() and followed.replica is not None
+    third = next(label for label in others(old) if label != cluster.owner())
+    cluster.paused_controllers.discard(old)
+    cluster.run(3.0)
+    assert (
+        "owner replaced shard=" in caplog.text and not cluster.controllers[old].parts.owned.shards
+    )
+    followed = next(iter(standby_of(cluster.controllers[third]).follower.shards.values()))
+    assert followed.owner == cluster.owner() and followed.replica is not None
     assert "vm-000001" in followed.replica.state.machines
-    assert standby_of(world.controllers[third]).follower.dropped.get("replaced", 0) > 0
-    world.until(lambda: world.stage(long) == world.stage(more) == "done", 90.0)
-    starts = [piece for _, piece, _ in world.starts_seen if piece.startswith(long)]
+    assert standby_of(cluster.controllers[third]).follower.dropped.get("replaced", 0) > 0
+    cluster.run_until(lambda: cluster.job_state(long) == cluster.job_state(more) == "done", 90.0)
+    starts = [piece for _, piece, _ in cluster.task_starts if piece.startswith(long)]
     assert sorted(starts) == sorted(set(starts))
 
 
@@ -348,42 +354,42 @@
 def test_runs_that_no_entry_tells_of_are_neither_placed_twice_nor_lost(moment_s: float) -> None:
     """Booked and not sent, sent and not acknowledged, sent and never replicated: the holder's link
     to its followers is cut before it decides, and it ends at a moment in between."""
-    world = warm()
-    old = world.holder()
-    world.link = lambda one, other, body: [] if one == old else [0.0]
-    world.run(1.0)
-    job = submit(world, 1, pieces=6, label=others(old)[0])
-    world.times[job] = 12.0
-    world.run(moment_s)
-    world.crash(old)
-    world.until(lambda: world.stage(job) == "done", 90.0)
-    starts = [piece for _, piece, _ in world.starts_seen]
+    cluster = warm()
+    old = cluster.owner()
+    cluster.peer_message_delays = lambda one, other, body: [] if one == old else [0.0]
+    cluster.run(1.0)
+    job = submit(cluster, 1, pieces=6, label=others(old)[0])
+    cluster.task_durations_s[job] = 12.0
+    cluster.run(moment_s)
+    cluster.crash(old)
+    cluster.run_until(lambda: cluster.job_state(job) == "done", 90.0)
+    starts = [piece for _, piece, _ in cluster.task_starts]
     assert sorted(starts) == sorted(set(starts)) and len(starts) == 6
 
 
 @pytest.mark.parametrize("gone", [False, True])
 def test_the_freshest_replica_goes_first_and_is_not_waited_for_when_it_is_gone(gone: bool) -> None:
-    world = warm()
-    old = world.holder()
+    cluster = warm()
+    old = cluster.owner()
     fresh, stale = sorted(others(old))[::-1]
-    world.link = lambda one, other, body: (
+    cluster.peer_message_delays = lambda one, other, body: (
         [0.0] if other != stale or kinds_of(body) == "beat" else []
     )
-    job = submit(world, 1, pieces=8)
-    world.run(6.0)
+    job = submit(cluster, 1, pieces=8)
+    cluster.run(6.0)
     # The last word of the holder tells the stale one how far the other is.
-    stream = next(iter(standby_of(world.controllers[old]).streams.values()))
-    followed = standby_of(world.controllers[stale]).follower.shards[stream.shard.shard_id]
+    stream = next(iter(standby_of(cluster.controllers[old]).streams.values()))
+    followed = standby_of(cluster.controllers[stale]).follower.shards[stream.shard.shard_id]
     followed.positions = {
         label: entry.acknowledged_number for label, entry in stream.positions.items()
     }
     assert followed.positions[fresh] > followed.positions[stale]
-    world.crash(old, *([fresh] if gone else []))
-    crashed_at = world.now
-    world.until(lambda: world.holder() != old, 8.0)
-    assert world.holder() == (stale if gone else fresh)
-    assert world.now - crashed_at < FIVE_S
-    world.until(lambda: world.stage(job) == "done", 90.0)
+    cluster.crash(old, *([fresh] if gone else []))
+    crashed_at = cluster.now
+    cluster.run_until(lambda: cluster.owner() != old, 8.0)
+    assert cluster.owner() == (stale if gone else fresh)
+    assert cluster.now - crashed_at < FIVE_S
+    cluster.run_until(lambda: cluster.job_state(job) == "done", 90.0)
 
 
 @pytest.mark.parametrize("moment_s", [0.2, 4.0])
@@ -392,94 +398,96 @@
 ) -> None:
     """On loopback, 22 of 30 takeovers went to one that knew nothing: it was asked too rarely, and
     was as fast as anybody to take the lead."""
-    world = warm()
-    job = submit(world, 1, pieces=20)
-    old = world.holder()
+    cluster = warm()
+    job = submit(cluster, 1, pieces=20)
+    old = cluster.owner()
     back, knowing = others(old)
-    world.crash(back)
-    world.run(6.0)
-    world.boot(back)
-    sessions = [f"live/session/{label}" for label in LABELS]
-    world.until(lambda: all(key in world.state.data for key in sessions), 8.0)
-    world.run(moment_s)
-    assert (replica_of(world, back) is not None) == (moment_s > 1.0)
-    world.crash(old)
-    world.until(lambda: world.holder() != old, 8.0)
-    assert world.holder() == knowing or moment_s > 1.0
-    new = standby_of(holder_of(world))
-    world.until(lambda: bool(new.expected_tasks), 1.0)
-    world.until(lambda: world.stage(job) == "done", 90.0)
+    cluster.crash(back)
+    cluster.run(6.0)
+    cluster.start_controller(back)
+    sessions = [f"live/session/{label}" for label in CONTROLLER_LABELS]
+    cluster.run_until(lambda: all(key in cluster.state.entries for key in sessions), 8.0)
+    cluster.run(moment_s)
+    assert (replica_of(cluster, back) is not None) == (moment_s > 1.0)
+    cluster.crash(old)
+    cluster.run_until(lambda: cluster.owner() != old, 8.0)
+    assert cluster.owner() == knowing or moment_s > 1.0
+    new = standby_of(holder_of(cluster))
+    cluster.run_until(lambda: bool(new.expected_tasks), 1.0)
+    cluster.run_until(lambda: cluster.job_state(job) == "done", 90.0)
 
 
 def test_the_holder_ends_while_a_snapshot_is_under_way_and_the_freshest_follower_with_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(snapshot_module, "MAX_PART_ITEMS", 1)
-    world = warm(machines=5)
-    job = submit(world, 1, pieces=10)
-    world.times[job] = 8.0
-    world.run(3.0)
-    old = world.holder()
+    cluster = warm(machines=5)
+    job = submit(cluster, 1, pieces=10)
+    cluster.task_durations_s[job] = 8.0
+    cluster.run(3.0)
+    old = cluster.owner()
     late, other = others(old)
-    world.crash(late)
-    world.run(0.5)
-    world.boot(late)
-    blocks = standby_of(world.controllers[late]).follower.shards
-    world.until(lambda: any(b.assembly is not None for b in blocks.values()), 8.0)
-    assert replica_of(world, late) is None
-    world.crash(old, other)
-    world.until(lambda: world.holder() == late, 8.0)
-    world.until(lambda: world.stage(job) == "done", 90.0)
+    cluster.crash(late)
+    cluster.run(0.5)
+    cluster.start_controller(late)
+    blocks = standby_of(cluster.controllers[late]).follower.shards
+    cluster.run_until(lambda: any(b.assembly is not None for b in blocks.values()), 8.0)
+    assert replica_of(cluster, late) is None
+    cluster.crash(old, other)
+    cluster.run_until(lambda: cluster.owner() == late, 8.0)
+    cluster.run_until(lambda: cluster.job_state(job) == "done", 90.0)
 
 
 @pytest.mark.parametrize("way", ["to followers", "to the holder"])
 def test_a_link_that_drops_one_way_costs_the_replica_and_nothing_else(way: str) -> None:
-    world = warm()
-    old = world.holder()
-    world.link = lambda one, other, body: [] if (one == old) == (way == "to followers") else [0.0]
-    job = submit(world, 1, pieces=12)
-    world.run(5.0)
-    world.crash(old)
-    world.until(lambda: world.stage(job) == "done", 90.0)
-    world.link = lambda one, other, body: [0.0]
-    last = next(label for label in others(old) if label != world.holder())
-    world.until(lambda: replica_of(world, last) is not None, 15.0)
+    cluster = warm()
+    old = cluster.owner()
+    cluster.peer_message_delays = lambda one, other, body: (
+        [] if (one == old) == (way == "to followers") else [0.0]
+    )
+    job = submit(cluster, 1, pieces=12)
+    cluster.run(5.0)
+    cluster.crash(old)
+    cluster.run_until(lambda: cluster.job_state(job) == "done", 90.0)
+    cluster.peer_message_delays = lambda one, other, body: [0.0]
+    last = next(label for label in others(old) if label != cluster.owner())
+    cluster.run_until(lambda: replica_of(cluster, last) is not None, 15.0)
 
 
 def test_messages_doubled_late_and_out_of_order_do_no_harm() -> None:
     chance = random.Random(5)
-    world = warm()
-    world.link = lambda one, other, body: [
+    cluster = warm()
+    cluster.peer_message_delays = lambda one, other, body: [
         chance.random() * 3.0 for _ in range(chance.choice([0, 1, 1, 2]))
     ]
-    jobs = [submit(world, n, pieces=6) for n in range(1, 5)]
+    jobs = [submit(cluster, n, pieces=6) for n in range(1, 5)]
     for _ in range(2):
-        world.run(5.0)
-        old = world.holder()
-        world.crash(old)
-        world.run(6.0)
-        world.boot(old)
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 120.0)
+        cluster.run(5.0)
+        old = cluster.owner()
+        cluster.crash(old)
+        cluster.run(6.0)
+        cluster.start_controller(old)
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 120.0)
 
 
 @pytest.mark.parametrize("without", ["followers", "holder"])
 def test_beside_controllers_without_a_standby_the_deployment_serves_on(without: str) -> None:
-    world = ready(3, operators=ON)
-    world.capacity = 3
-    old = world.holder()
+    cluster = ready(3, operators=ON)
+    cluster.capacity = 3
+    old = cluster.owner()
     for label in others(old) if without == "followers" else [old]:
-        world.crash(label)
-        world.boot(label, operators={})
-    world.run(4.0)
-    job = submit(world, 1, pieces=8)
-    world.run(4.0)
-    world.crash(world.holder())
-    world.until(lambda: world.stage(job) == "done", 90.0)
+        cluster.crash(label)
+        cluster.start_controller(label, operators={})
+    cluster.run(4.0)
+    job = submit(cluster, 1, pieces=8)
+    cluster.run(4.0)
+    cluster.crash(cluster.owner())
+    cluster.run_until(lambda: cluster.job_state(job) == "done", 90.0)
 
 
 def test_a_follower_that_never_answers_is_asked_rarely_and_holds_nothing_up() -> None:
-    world = warm()
-    old = world.holder()
+    cluster = warm()
+    old = cluster.owner()
     slow = others(old)[0]
     sent: list[str] = []
 
@@ -489,19 +497,19 @@
             return []
         return [0.0]
 
-    world.crash(slow)
-    world.boot(slow, operators={})
-    stream = next(iter(standby_of(world.controllers[old]).streams.values()))
+    cluster.crash(slow)
+    cluster.start_controller(slow, operators={})
+    stream = next(iter(standby_of(cluster.controllers[old]).streams.values()))
     stream.positions[slow] = stream_module.FollowerPosition()
-    world.link = link
-    job = submit(world, 1, pieces=30)
-    world.until(lambda: world.stage(job) == "done", 60.0)
+    cluster.peer_message_delays = link
+    job = submit(cluster, 1, pieces=30)
+    cluster.run_until(lambda: cluster.job_state(job) == "done", 60.0)
     other = others(old)[1]
-    world.run(1.0)
-    replica = replica_of(world, other)
+    cluster.run(1.0)
+    replica = replica_of(cluster, other)
     assert replica is not None and stream.log.last_number - replica.last_number <= 2
     assert (
-        len(sent) <= (world.now - 100.0) / (0.2 * stream_module.UNRESPONSIVE_INTERVAL_BATCHES) + 2
+        len(sent) <= (cluster.now - 100.0) / (0.2 * stream_module.UNRESPONSIVE_INTERVAL_BATCHES) + 2
     )
 
 
@@ -513,34 +521,34 @@
 ) -> None:
     """The world watches for tasks on two machines and for work on unconfirmed ones."""
     chance = random.Random(number)
-    world = warm(machines=4)
+    cluster = warm(machines=4)
     loss = chance.choice([0.0, 0.2, 0.7])
-    world.link = lambda one, other, body: (
+    cluster.peer_message_delays = lambda one, other, body: (
         [] if chance.random() < loss else [chance.choice([0.0, 0.0, 0.5, 2.0])]
     )
     jobs: list[str] = []
     for turn in range(5):
         jobs += [
-            submit(world, 10 * turn + n, label, pieces=chance.randint(1, 6))
-            for n, label in enumerate(world.controllers)
-            if label not in world.paused
+            submit(cluster, 10 * turn + n, label, pieces=chance.randint(1, 6))
+            for n, label in enumerate(cluster.controllers)
+            if label not in cluster.paused_controllers
         ]
-        world.run(chance.random() * 4.0)
-        victim = world.holder() if chance.random() < 0.7 else chance.choice(LABELS)
+        cluster.run(chance.random() * 4.0)
+        victim = cluster.owner() if chance.random() < 0.7 else chance.choice(CONTROLLER_LABELS)
         if chance.random() < 0.5:
-            world.crash(victim)
+            cluster.crash(victim)
         else:
-            world.paused.add(victim)
-        world.run(chance.choice([0.5, 3.0, 7.0]))
-        world.paused.discard(victim)
-        if victim not in world.controllers:
-            world.boot(victim)
-        world.until(
-            lambda: any(c.parts.session.is_live() for c in world.controllers.values()), 20.0
+            cluster.paused_controllers.add(victim)
+        cluster.run(chance.choice([0.5, 3.0, 7.0]))
+        cluster.paused_controllers.discard(victim)
+        if victim not in cluster.controllers:
+            cluster.start_controller(victim)
+        cluster.run_until(
+            lambda: any(c.parts.session.is_live() for c in cluster.controllers.values()), 20.0
         )
-        world.run(2.0)
-    world.link = lambda one, other, body: [0.0]
-    world.until(lambda: all(world.stage(job) == "done" for job in jobs), 200.0)
+        cluster.run(2.0)
+    cluster.peer_message_delays = lambda one, other, body: [0.0]
+    cluster.run_until(lambda: all(cluster.job_state(job) == "done" for job in jobs), 200.0)
 
 
 # -- turning it on -----------------------------------------------------------------------------
@@ -549,7 +557,8 @@
 def test_nothing_of_it_is_imported_unless_it_is_turned_on() -> None:
     program = (
         "import sys, fallpulley.serve; from fallpulley.controller import Controller; "
-        "from tests.world import settings; Controller(settings('node-0'), 'boot', lambda: 0.0); "
+        "from tests.simulated_cluster import controller_settings;"
+        " Controller(controller_settings('node-0'), 'boot', lambda: 0.0); "
         "names = ('standby', 'zstandard', 'fallpulley.shares', 'celpy'); "
         "sys.exit(any(name in m for m in sys.modules for name in names))"
     )
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -217,21 +217,21 @@
     class After:
         severed = 2
 
-    monkeypatch.setitem(names.ATTRIBUTES, "cut", ("severed", "cut"))
-    assert (names.read(Before(), "cut"), names.read(After(), "cut")) == (1, 2)
+    monkeypatch.setitem(names.ATTRIBUTES, "partitions", ("severed", "cut"))
+    assert (names.read(Before(), "partitions"), names.read(After(), "partitions")) == (1, 2)
     after = After()
-    names.write(after, "cut", 3)
+    names.write(after, "partitions", 3)
     assert after.severed == 3
     with pytest.raises(MissingNameError, match="severed"):
-        names.read(object(), "cut")
+        names.read(object(), "partitions")
 
 
 def test_every_name_is_there_in_the_sources_at_hand() -> None:
     for what in names.PLACES:
         assert names.find(what)
-    world = names.find("World")(1)
-    owners = [names.find("Controller"), world, names.read(world, "state")]
-    owners += names.read(world, "workers").values()
+    cluster = names.find("SimulatedCluster")(1)
+    owners = [names.find("Controller"), cluster, names.read(cluster, "state")]
+    owners += names.read(cluster, "workers").values()
     for attribute, known in names.ATTRIBUTES.items():
         assert any(hasattr(owner, name) for owner in owners for name in known), attribute
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,32 +24,32 @@
 from fallpulley.mesh import messages as mesh
 from fallpulley.records.messages import Session
 from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard
+from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster, job_spec
 from tests.test_day_end import started
 from tests.test_edges import open_job
 from tests.test_stories import others, submit
-from tests.world import LABELS, World, job
 
 DATA = json.loads((pathlib.Path(__file__).parent / "data" / "production.json").read_text())
 TO_COME = {"write_rps": 18.0, "value_kb": 2.0, "txn_ops": 5}
 STATE = {"rps": 200.0, "write_rps": 90.0, "value_kb": 16.0, "txn_ops": 16, "next": TO_COME}
 
 
-def older_layouts_only(world: World) -> bool:
+def older_layouts_only(cluster: SimulatedCluster) -> bool:
     """What the version in production reads, and nothing else."""
-    for key, (value, _, _) in world.state.data.items():
+    for key, (value, _, _) in cluster.state.entries.items():
         if key == "live/format" or "@" in key or "runs" in value or value.get("hosts"):
             return False
     return True
 
 
-def mixed(older: list[str], machines: int = 3, **facts: Any) -> World:
-    world = World(machines, start=False, **({"state": STATE} | facts))
-    world.capacity = machines
-    for label in LABELS:
-        world.boot(label, older=label in older)
-    world.until(lambda: bool(world.blocks()), 5.0)
-    world.run(3.0)
-    return world
+def mixed(older: list[str], machines: int = 3, **facts: Any) -> SimulatedCluster:
+    cluster = SimulatedCluster(machines, start=False, **({"state": STATE} | facts))
+    cluster.capacity = machines
+    for label in CONTROLLER_LABELS:
+        cluster.start_controller(label, older=label in older)
+    cluster.run_until(lambda: bool(cluster.shards()), 5.0)
+    cluster.run(3.0)
+    return cluster
 
 
 def test_records_and_messages_of_the_version_in_production_are_read() -> None:
@@ -57,7 +57,7 @@
         body = json.dumps(value).encode()
         if key.startswith("live/block/"):
             record = decode_shard(body)
-            assert record.owner in LABELS and len(record.machines) > 0
+            assert record.owner in CONTROLLER_LABELS and len(record.machines) > 0
             assert all(entry.address for entry in record.machines.values())
         elif key.startswith("live/job/"):
             assert msgspec.json.decode(body, type=JobRecord).task_count > 0
@@ -70,122 +70,124 @@
 
 
 def test_work_that_the_version_in_production_left_behind_is_taken_up_and_ended() -> None:
-    world = World(5, start=False, state=STATE)
-    world.capacity = 5
-    world.boots = 100  # other processes than those in the records
+    cluster = SimulatedCluster(5, start=False, state=STATE)
+    cluster.capacity = 5
+    cluster.controller_starts = 100  # other processes than those in the records
     for number, (key, value) in enumerate(DATA["records"].items(), 1):
         if not key.startswith(("live/session/", "live/leader")):
-            world.state.data[key] = (value, number, None)
-            world.state.ledger = number
-            world.state.log.append({"set": key, "v": value, "stamp": number})
+            cluster.state.entries[key] = (value, number, None)
+            cluster.state.revision = number
+            cluster.state.log.append({"set": key, "v": value, "stamp": number})
         if key.startswith("live/job/") and "spec" in value:
-            world.specs[key.rpartition("/")[2]] = value["spec"]
-    for label in LABELS:
-        world.boot(label)
-    world.until(lambda: world.stage("job-000009") == world.stage("job-000010") == "done", 90.0)
-    assert world.stage("job-000003") == "withdrawn"
+            cluster.submissions[key.rpartition("/")[2]] = value["spec"]
+    for label in CONTROLLER_LABELS:
+        cluster.start_controller(label)
+    cluster.run_until(
+        lambda: cluster.job_state("job-000009") == cluster.job_state("job-000010") == "done", 90.0
+    )
+    assert cluster.job_state("job-000003") == "withdrawn"
     # Eighteen tasks of it were done already, by a progress value of the older layout.
-    assert started(world, "job-000009") <= 4
+    assert started(cluster, "job-000009") <= 4
 
 
 def test_while_one_controller_may_be_older_nothing_is_written_that_it_does_not_read() -> None:
-    world = mixed(["node-2"])
-    uid = submit(world, 1, pieces=12, cpus=1.0)
-    world.times[uid] = 9.0
-    status, _, retry = world.get("node-0", "POST", "/work", job(2, awaits=[uid]))
+    cluster = mixed(["node-2"])
+    uid = submit(cluster, 1, pieces=12, cpus=1.0)
+    cluster.task_durations_s[uid] = 9.0
+    status, _, retry = cluster.request("node-0", "POST", "/work", job_spec(2, awaits=[uid]))
     assert (status, retry) == (503, 1.0)
     for at in range(600):
-        world.step()
+        cluster.step()
         if at % 20 == 0:
-            assert older_layouts_only(world)
-    world.crash("node-2")
-    world.run(10.0)
-    assert older_layouts_only(world)  # it may come back as it was
-    world.boot("node-2", older=True)
-    world.run(5.0)
-    assert older_layouts_only(world)
-    world.crash("node-2")
-    world.boot("node-2")
-    world.until(lambda: "live/format" in world.state.data, 5.0)
-    world.run(0.5)
-    last = submit(world, 3, awaits=[uid])
-    world.until(lambda: world.stage(last) == "done", 60.0)
-    assert any("runs" in record for record in world.blocks().values())
+            assert older_layouts_only(cluster)
+    cluster.crash("node-2")
+    cluster.run(10.0)
+    assert older_layouts_only(cluster)  # it may come back as it was
+    cluster.start_controller("node-2", older=True)
+    cluster.run(5.0)
+    assert older_layouts_only(cluster)
+    cluster.crash("node-2")
+    cluster.start_controller("node-2")
+    cluster.run_until(lambda: "live/format" in cluster.state.entries, 5.0)
+    cluster.run(0.5)
+    last = submit(cluster, 3, awaits=[uid])
+    cluster.run_until(lambda: cluster.job_state(last) == "done", 60.0)
+    assert any("runs" in record for record in cluster.shards().values())
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_old_and_new_holders_take_over_from_each_other_and_nothing_runs_twice(seed: int) -> None:
     chance = random.Random(seed)
-    world = mixed(list(LABELS))
-    uids = [submit(world, n, pieces=4, crew="small" if n % 2 else "crew") for n in range(1, 5)]
+    cluster = mixed(list(CONTROLLER_LABELS))
+    uids = [submit(cluster, n, pieces=4, crew="small" if n % 2 else "crew") for n in range(1, 5)]
     for uid in uids:
-        world.times[uid] = 14.0
+        cluster.task_durations_s[uid] = 14.0
     upgraded: set[str] = set()
     for turn in range(8):
-        world.run(chance.uniform(1.0, 7.0))
-        label = world.holder() if turn % 2 == 0 else chance.choice(LABELS)
-        if label not in world.controllers:
+        cluster.run(chance.uniform(1.0, 7.0))
+        label = cluster.owner() if turn % 2 == 0 else chance.choice(CONTROLLER_LABELS)
+        if label not in cluster.controllers:
             continue
-        world.crash(label)
-        world.run(chance.choice([0.2, 5.0]))
+        cluster.crash(label)
+        cluster.run(chance.choice([0.2, 5.0]))
         if turn >= 2 and chance.random() < 0.7:
             upgraded.add(label)
-        world.boot(label, older=label not in upgraded)
+        cluster.start_controller(label, older=label not in upgraded)
         if len(upgraded) < 3:
-            assert older_layouts_only(world)
-    for label in LABELS:
+            assert older_layouts_only(cluster)
+    for label in CONTROLLER_LABELS:
         if label not in upgraded:
-            world.crash(label)
-            world.boot(label)
-    world.until(lambda: "live/format" in world.state.data, 20.0)
-    world.until(lambda: all(world.stage(uid) == "done" for uid in uids), 150.0)
+            cluster.crash(label)
+            cluster.start_controller(label)
+    cluster.run_until(lambda: "live/format" in cluster.state.entries, 20.0)
+    cluster.run_until(lambda: all(cluster.job_state(uid) == "done" for uid in uids), 150.0)
 
 
 def test_the_limits_to_come_are_no_event() -> None:
     """A second after the last upgrade; nothing is refused for its size, and nothing is lost."""
-    world = mixed(list(LABELS), machines=150, machine_limits={"sockets": 4000})
-    uid = submit(world, 1, pieces=900, cpus=1.0)
-    world.times[uid] = 12.0
-    for label in [*others(world.holder()), world.holder()]:
-        world.run(4.0)
-        world.crash(label)
-        world.run(1.0)
-        world.boot(label)
-    world.until(lambda: "live/format" in world.state.data, 20.0)
-    world.run(1.0)
-    world.state.value_bytes, world.state.txn_ops, world.state.write_rps = 2048, 5, 18.0
-    more = [submit(world, n, pieces=2, cpus=1.0) for n in range(2, 20)]
-    world.until(lambda: world.stage(uid) == "done", 120.0)
-    world.until(lambda: all(world.stage(name) == "done" for name in more), 60.0)
-    assert world.state.refusals == 0
-    world.until(lambda: len(world.released) > 100, 120.0)
-    assert world.state.refusals == 0
-    for key, (value, _, _) in world.state.data.items():
+    cluster = mixed(list(CONTROLLER_LABELS), machines=150, machine_limits={"sockets": 4000})
+    uid = submit(cluster, 1, pieces=900, cpus=1.0)
+    cluster.task_durations_s[uid] = 12.0
+    for label in [*others(cluster.owner()), cluster.owner()]:
+        cluster.run(4.0)
+        cluster.crash(label)
+        cluster.run(1.0)
+        cluster.start_controller(label)
+    cluster.run_until(lambda: "live/format" in cluster.state.entries, 20.0)
+    cluster.run(1.0)
+    cluster.state.value_bytes, cluster.state.txn_ops, cluster.state.write_rps = 2048, 5, 18.0
+    more = [submit(cluster, n, pieces=2, cpus=1.0) for n in range(2, 20)]
+    cluster.run_until(lambda: cluster.job_state(uid) == "done", 120.0)
+    cluster.run_until(lambda: all(cluster.job_state(name) == "done" for name in more), 60.0)
+    assert cluster.state.oversized_transactions == 0
+    cluster.run_until(lambda: len(cluster.released_hosts) > 100, 120.0)
+    assert cluster.state.oversized_transactions == 0
+    for key, (value, _, _) in cluster.state.entries.items():
         assert len(json.dumps(value)) <= 2048, key
 
 
 def test_limits_that_come_before_all_were_seen_block_nothing() -> None:
     """One controller was brought over, and cut off before any leader saw it."""
     to_come = TO_COME | {"value_kb": 0.8}
-    world = mixed(["node-2"], machines=400, state=STATE | {"next": to_come})
-    uid = submit(world, 1, pieces=400, cpus=8.0)
-    world.times[uid] = 25.0
-    world.until(lambda: len(world.running(uid)) == 400, 20.0)
-    world.crash("node-2")
-    world.cut.update({("node-2", "state"), ("node-2", "node-0"), ("node-2", "node-1")})
-    world.boot("node-2")
-    world.run(6.0)
-    assert older_layouts_only(world)
-    assert any(len(json.dumps(record)) > 819 for record in world.blocks().values())
-    world.state.value_bytes, world.state.txn_ops, world.state.write_rps = 819, 5, 18.0
-    old = world.holder()
-    world.crash(old)
-    world.until(lambda: world.holder() != old, 20.0)
-    world.boot(old)
-    world.until(lambda: world.stage(uid) == "done", 60.0)
-    assert "live/format" in world.state.data
-    assert len(world.starts_seen) == 400
-    assert len(world.blocks()) == 1  # no second one before the first has shrunk
+    cluster = mixed(["node-2"], machines=400, state=STATE | {"next": to_come})
+    uid = submit(cluster, 1, pieces=400, cpus=8.0)
+    cluster.task_durations_s[uid] = 25.0
+    cluster.run_until(lambda: len(cluster.running_tasks(uid)) == 400, 20.0)
+    cluster.crash("node-2")
+    cluster.partitions.update({("node-2", "state"), ("node-2", "node-0"), ("node-2", "node-1")})
+    cluster.start_controller("node-2")
+    cluster.run(6.0)
+    assert older_layouts_only(cluster)
+    assert any(len(json.dumps(record)) > 819 for record in cluster.shards().values())
+    cluster.state.value_bytes, cluster.state.txn_ops, cluster.state.write_rps = 819, 5, 18.0
+    old = cluster.owner()
+    cluster.crash(old)
+    cluster.run_until(lambda: cluster.owner() != old, 20.0)
+    cluster.start_controller(old)
+    cluster.run_until(lambda: cluster.job_state(uid) == "done", 60.0)
+    assert "live/format" in cluster.state.entries
+    assert len(cluster.task_starts) == 400
+    assert len(cluster.shards()) == 1  # no second one before the first has shrunk
 
 
 def test_a_fleet_of_seven_hundred_fits_the_small_value_and_odd_names_are_kept() -> None:
@@ -251,10 +253,10 @@
 
 
 def test_more_progress_values_than_a_transaction_holds_keep_no_job_from_ending() -> None:
-    world = mixed([])
-    uid = submit(world, 1, pieces=4)
-    world.until(lambda: len(world.running(uid)) == 4, 20.0)
-    held = next(iter(world.controllers[world.holder()].parts.owned.shards.values()))
+    cluster = mixed([])
+    uid = submit(cluster, 1, pieces=4)
+    cluster.run_until(lambda: len(cluster.running_tasks(uid)) == 4, 20.0)
+    held = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
     for number in range(9):
         held.jobs[uid].progress.revisions[f"{number}@64"] = 0
-    world.until(lambda: world.stage(uid) == "done", 30.0)
+    cluster.run_until(lambda: cluster.job_state(uid) == "done", 30.0)
--- a/tests/traces/adapter.py
+++ b/tests/traces/adapter.py
@@ -30,13 +30,15 @@
         facts: dict[str, Any],
     ) -> None:
         self._recorder = recorder
-        self._world = find("World")(machines, start=False, operators=operators, **facts)
-        self.labels: list[str] = list(find("LABELS"))
+        self._simulation = find("SimulatedCluster")(
+            machines, start=False, operators=operators, **facts
+        )
+        self.labels: list[str] = list(find("CONTROLLER_LABELS"))
         self._processes = 0
-        write(self._world, "capacity", capacity)
+        write(self._simulation, "capacity", capacity)
 
     def _read(self, attribute: str) -> Any:
-        return read(self._world, attribute)
+        return read(self._simulation, attribute)
 
     # -- time ------------------------------------------------------------------------------
 
@@ -48,7 +50,7 @@
         self._read("step")()
 
     def set_step(self, seconds: float) -> None:
-        write(self._world, "step_s", seconds)
+        write(self._simulation, "step_s", seconds)
 
     # -- controllers -----------------------------------------------------------------------
 
@@ -59,7 +61,7 @@
         self, label: str, older: bool = False, operators: dict[str, Any] | None = None
     ) -> None:
         """`older`: a process that does not know the newer record format."""
-        self._read("boot")(label, older=older, operators=operators)
+        self._read("start_controller")(label, older=older, operators=operators)
         self._processes += 1
         self._recorder.began(self._read("controllers")[label], label, self._processes)
 
@@ -67,33 +69,33 @@
         self._read("crash")(label)
 
     def pause(self, label: str) -> None:
-        self._read("paused").add(label)
+        self._read("paused_controllers").add(label)
 
     def resume(self, label: str) -> None:
-        self._read("paused").discard(label)
+        self._read("paused_controllers").discard(label)
 
     def leader(self) -> str:
         """By the state service; the first controller while there is none."""
-        entry = self._read_state("data").get("live/leader")
+        entry = self._read_state("entries").get("live/leader")
         return str(entry[0]["label"]) if entry else self.labels[0]
 
-    def holder(self) -> str:
+    def owner(self) -> str:
         """The holder of the first block; the first controller while there is none."""
-        for key, (record, _, _) in sorted(self._read_state("data").items()):
+        for key, (record, _, _) in sorted(self._read_state("entries").items()):
             if key.startswith("live/block/"):
                 return str(record["holder"])
         return self.labels[0]
 
     def set_clock(self, label: str, wall_ahead_s: float, rate: float) -> None:
         """`rate`: how much faster than the others' its steady clock runs."""
-        self._read("wall_ahead")[label] = wall_ahead_s
-        self._read("clock_rate")[label] = rate
+        self._read("wall_clock_offsets_s")[label] = wall_ahead_s
+        self._read("clock_rates")[label] = rate
 
     # -- requests and messages -------------------------------------------------------------
 
     def request(self, label: str, method: str, path: str, body: Any = None) -> None:
         """A user's or worker's request; `body` is bytes, or what is sent as JSON."""
-        self._read("ask")(label, method, path, body)
+        self._read("send_request")(label, method, path, body)
 
     def operators_request(self, label: str, method: str, path: str, body: Any = None) -> None:
         data = body if isinstance(body, bytes) else json.dumps(body).encode() if body else b""
@@ -109,19 +111,19 @@
 
     def reports_of(self, host: str) -> list[bytes]:
         """Bodies of the check-ins that this machine has sent."""
-        return list(self._read("sent").get(host, []))
+        return list(self._read("sent_heartbeats").get(host, []))
 
     def set_link(self, link: Link) -> None:
-        write(self._world, "link", link)
+        write(self._simulation, "peer_message_delays", link)
 
     # -- the network -----------------------------------------------------------------------
 
     def cut(self, one: str, other: str) -> None:
         """`other`: a controller, a machine, "state" or "cloud"."""
-        self._read("cut").add((one, other))
+        self._read("partitions").add((one, other))
 
     def heal(self, one: str, other: str) -> None:
-        self._read("cut").discard((one, other))
+        self._read("partitions").discard((one, other))
 
     # -- the state service -----------------------------------------------------------------
 
@@ -132,18 +134,22 @@
         write(self._read("state"), "down", down)
 
     def set_state_delay(self, seconds: float) -> None:
-        write(self._world, "slow_s", seconds)
+        write(self._simulation, "state_delay_s", seconds)
 
     def set_refused(self, label: str, refused: bool) -> None:
         """The state service answers this controller with 503."""
-        (self._read("refused").add if refused else self._read("refused").discard)(label)
+        (
+            self._read("refused_controllers").add
+            if refused
+            else self._read("refused_controllers").discard
+        )(label)
 
     def set_unanswered(self, label: str, late_s: float | None) -> None:
         """This controller's transactions get no answer and take effect so much later."""
         if late_s is None:
-            self._read("unanswered").pop(label, None)
+            self._read("unanswered_transactions").pop(label, None)
         else:
-            self._read("unanswered")[label] = late_s
+            self._read("unanswered_transactions")[label] = late_s
 
     def set_state_limits(self, value_bytes: int, txn_ops: int, write_rps: float) -> None:
         state = self._read("state")
@@ -154,16 +160,16 @@
     def put_record(self, key: str, value: Any) -> None:
         """A record that no controller of these has written."""
         state = self._read("state")
-        stamp = read(state, "ledger") + 1
-        write(state, "ledger", stamp)
-        read(state, "data")[key] = (value, stamp, None)
+        stamp = read(state, "revision") + 1
+        write(state, "revision", stamp)
+        read(state, "entries")[key] = (value, stamp, None)
         read(state, "log").append({"set": key, "v": value, "stamp": stamp})
         if isinstance(value, dict) and "spec" in value:
-            self._read("specs")[key.rpartition("/")[2]] = value["spec"]
+            self._read("submissions")[key.rpartition("/")[2]] = value["spec"]
 
     def skip_boots(self, number: int) -> None:
         """Processes from now on have other names than those in records that were there before."""
-        write(self._world, "boots", number)
+        write(self._simulation, "controller_starts", number)
 
     # -- machines --------------------------------------------------------------------------
 
@@ -171,7 +177,7 @@
         return sorted(self._read("workers"))
 
     def add_machine(self, zone: str, spot: bool) -> None:
-        self._read("machine")(zone, spot)
+        self._read("add_machine")(zone, spot)
 
     def take_machine(self, host: str) -> None:
         """The cloud takes it away."""
@@ -182,7 +188,7 @@
 
     def set_recall(self, host: str, seconds: float | None) -> None:
         """A spot machine reports that it will be taken after so long."""
-        self._set_of_worker(host, "recall_s", seconds)
+        self._set_of_worker(host, "preemption_notice_s", seconds)
 
     def _set_of_worker(self, host: str, attribute: str, value: object) -> None:
         worker = self._read("workers").get(host)
@@ -190,31 +196,31 @@
             write(worker, attribute, value)
 
     def set_unheard(self, host: str, way: str, unheard: bool) -> None:
-        """`way`: "answers_lost", "mute" or "no_direct"; see `World`."""
+        """`way`: "response_loss_hosts", "heartbeat_loss_hosts" or "command_loss_hosts"."""
         hosts = self._read(way)
         (hosts.add if unheard else hosts.discard)(host)
 
     def set_cause(self, host: str, cause: str | None) -> None:
         """Every task that ends on this machine ends so."""
         if cause is None:
-            self._read("errors").pop(host, None)
+            self._read("exit_reasons").pop(host, None)
         else:
-            self._read("errors")[host] = cause
+            self._read("exit_reasons")[host] = cause
 
     def set_duration(self, job: str, seconds: float) -> None:
-        self._read("times")[job] = seconds
+        self._read("task_durations_s")[job] = seconds
 
     # -- the cloud -------------------------------------------------------------------------
 
     def set_cloud_down(self, down: bool) -> None:
-        write(self._world, "cloud_down", down)
+        write(self._simulation, "cloud_down", down)
 
     def set_cloud_late(self, label: str, late_s: float | None) -> None:
         """This controller's actions get no answer and are carried out so much later."""
         if late_s is None:
-            self._read("cloud_late").pop(label, None)
+            self._read("unanswered_cloud_actions").pop(label, None)
         else:
-            self._read("cloud_late")[label] = late_s
+            self._read("unanswered_cloud_actions")[label] = late_s
 
     def set_capacity(self, machines: int) -> None:
-        write(self._world, "capacity", machines)
+        write(self._simulation, "capacity", machines)
--- a/tests/traces/failures.py
+++ b/tests/traces/failures.py
@@ -20,7 +20,7 @@
     """A controller; one time in two the one whose failure costs most."""
     draw = chance.random()
     if draw < 0.3:
-        return cluster.holder()
+        return cluster.owner()
     return cluster.leader() if draw < 0.5 else chance.choice(cluster.labels)
 
 
@@ -185,7 +185,7 @@
 def machines_unheard(cluster: Cluster, chance: random.Random) -> Action:
     """Answers, reports or direct commands are lost."""
     hosts = some_hosts(cluster, chance)
-    way = chance.choice(["answers_lost", "mute", "no_direct"])
+    way = chance.choice(["response_loss_hosts", "heartbeat_loss_hosts", "command_loss_hosts"])
     for host in hosts:
         cluster.set_unheard(host, way, True)
 
--- a/tests/traces/play.py
+++ b/tests/traces/play.py
@@ -1,7 +1,7 @@
 """Plays one scenario with the sources of a tree: `python3 play.py TREE SCENARIO TRACE`.
 
-It is run as a file of its own. `fallpulley` and `tests.world` come from the tree, which need not
-have this package; `tests.traces` is always the package that this file lies in.
+It is run as a file of its own. `fallpulley` and `tests.simulated_cluster` come from the tree,
+which need not have this package; `tests.traces` is always the package that this file lies in.
 """
 
 from __future__ import annotations
