--- a/tests/compare_traces.py
+++ b/tests/compare_traces.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
 
-from tests.traces import trees
+from tests.traces import worktrees
 from tests.traces.compare import Outcome, compare, lines_of
 from tests.traces.scenarios import SCENARIOS
 
@@ -46,9 +46,9 @@
     """The sources of a commit, and those at hand."""
 
     def __init__(self, commit: str, hash_seed: int, hash_seed_at_hand: int) -> None:
-        self.tree = trees.tree_of(commit)
-        self.kept = trees.kept_traces(commit, hash_seed)
-        self.at_hand = trees.traces_at_hand(hash_seed_at_hand)
+        self.tree = worktrees.tree_of(commit)
+        self.kept = worktrees.kept_traces(commit, hash_seed)
+        self.at_hand = worktrees.traces_at_hand(hash_seed_at_hand)
         self.hash_seed = hash_seed
         self.hash_seed_at_hand = hash_seed_at_hand
 
@@ -56,7 +56,7 @@
         before, after = self.kept / f"{scenario}.gz", self.at_hand / f"{scenario}.gz"
         if not before.exists():
             play(self.tree, scenario, before, self.hash_seed)
-        play(trees.ROOT, scenario, after, self.hash_seed_at_hand)
+        play(worktrees.ROOT, scenario, after, self.hash_seed_at_hand)
         return compare(lines_of(before), lines_of(after))
 
 
@@ -77,7 +77,7 @@
 def main(arguments: Sequence[str]) -> int:
     options = arguments_of(arguments)
     at_hand = options.hash_seed if options.hash_seed_at_hand is None else options.hash_seed_at_hand
-    comparison = Comparison(trees.commit_of(options.revision), options.hash_seed, at_hand)
+    comparison = Comparison(worktrees.commit_of(options.revision), options.hash_seed, at_hand)
     scenarios = options.scenario or list(SCENARIOS)
     differ = 0
     with ThreadPoolExecutor(max(1, options.jobs)) as pool:
--- a/tests/loopback/deployment.py
+++ b/tests/loopback/deployment.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from tests.loopback.standins import LoopbackCluster
+from tests.loopback.simulated_services import LoopbackCluster
 from tests.simulated_cluster import CONTROLLER_LABELS
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
--- a/tests/test_meetings.py
+++ b/tests/test_combined_failures.py
@@ -15,8 +15,8 @@
 from fallpulley.heartbeats.deferral import DeferredHeartbeat
 from fallpulley.records.shard_record import decode_shard
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster, job_spec
-from tests.test_day_end import replay, started
-from tests.test_stories import busy, others, ready, submit
+from tests.test_fault_tolerance import replay, started
+from tests.test_jobs_and_takeovers import busy, others, ready, submit
 
 
 def cancel(cluster: SimulatedCluster, label: str, uid: str) -> None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -22,8 +22,8 @@
 )
 from fallpulley.duties.service import DutiesService
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster, job_spec
+from tests.test_jobs_and_takeovers import submit
 from tests.test_standby import ROOT
-from tests.test_stories import submit
 
 ON: dict[str, Any] = {"duties": {"enabled": True}, "idle_boots": 2.0}
 
--- a/tests/test_day_end.py
+++ b/tests/test_fault_tolerance.py
@@ -11,7 +11,7 @@
 from fallpulley.effects import PeerMessage, Request
 from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster
-from tests.test_stories import busy, machines_of, others, ready, submit
+from tests.test_jobs_and_takeovers import busy, machines_of, others, ready, submit
 
 
 def replay(cluster: SimulatedCluster, label: str, body: bytes) -> list[int]:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -25,7 +25,11 @@
 
 def test_a_line_that_names_no_test_is_found() -> None:
     listed = dict.fromkeys(
-        ["tests/test_wire.py::test_none", "tests/gone.py::test_a", "tests/test_start.py::test_a"],
+        [
+            "tests/test_wire.py::test_none",
+            "tests/gone.py::test_a",
+            "tests/test_process_start.py::test_a",
+        ],
         ("cause", "issue"),
     )
     assert unknown_tests(listed, ["tests/test_wire.py::test_other"]) == [
--- a/tests/test_costs.py
+++ b/tests/test_operation_counts.py
@@ -10,7 +10,7 @@
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
-from tests.test_stories import busy
+from tests.test_jobs_and_takeovers import busy
 
 
 def test_marks_are_compared_when_something_changed_not_at_every_tick(
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -10,9 +10,9 @@
 
 from fallpulley.jobs.pipelines import DependencyNode, Pipelines
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster, job_spec
-from tests.test_day_end import started
-from tests.test_meetings import cancel, stages
-from tests.test_stories import others, ready, submit
+from tests.test_combined_failures import cancel, stages
+from tests.test_fault_tolerance import started
+from tests.test_jobs_and_takeovers import others, ready, submit
 
 
 def pipeline_world(machines: int = 2, **facts: object) -> SimulatedCluster:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -35,8 +35,8 @@
 )
 from fallpulley.shares.targets import plan_moves, target_processors
 from tests.simulated_cluster import CONTROLLER_LABELS, TEAMS, SimulatedCluster
+from tests.test_jobs_and_takeovers import others, submit
 from tests.test_standby import write_files
-from tests.test_stories import others, submit
 
 ON: dict[str, Any] = {"shares": {"enabled": True}, "idle_boots": 50.0}
 EVEN = {"node-0": 1.0, "node-1": 1.0, "node-2": 1.0}
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -43,8 +43,8 @@
 from fallpulley.standby.replica import GapError, MachineCopy, Replica, Snapshot, apply_entries
 from fallpulley.standby.service import Standby
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster
-from tests.test_edges import GOOD
-from tests.test_stories import others, ready, submit
+from tests.test_jobs_and_takeovers import others, ready, submit
+from tests.test_settings_and_limits import GOOD
 
 ON: dict[str, Any] = {"standby": {"enabled": True, "batch_s": 0.2, "session_s": 2.0}}
 ROOT = pathlib.Path(__file__).parent.parent
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -15,9 +15,9 @@
 import pytest
 
 from tests import compare_traces
-from tests.traces import names, trees
+from tests.traces import names, worktrees
 from tests.traces.compare import Outcome, compare, lines_of
-from tests.traces.damage import Damage
+from tests.traces.corruption import Corruption
 from tests.traces.names import MissingNameError
 from tests.traces.recorder import Recorder
 
@@ -237,12 +237,12 @@
 
 
 def test_damage_changes_neither_requests_nor_failed_answers() -> None:
-    damage = Damage(random.Random(1), 1.0)
+    corruption = Corruption(random.Random(1), 1.0)
     for _ in range(50):
         kept = [Request(ticket(), "GET", "/up", b"x"), Result(print, None, b"", 1.0)]
         answer = Result(print, 200, b'{"ledger":7}', 1.0)
         before = [repr(command) for command in kept]
-        damage([*kept, answer])
+        corruption([*kept, answer])
         assert [repr(command) for command in kept] == before
         assert answer.status == 200 and answer.body != b'{"ledger":7}'
 
@@ -250,6 +250,6 @@
 def test_a_scenario_played_twice_gives_the_same_trace(tmp_path: pathlib.Path) -> None:
     traces = [tmp_path / "one.gz", tmp_path / "two.gz"]
     for trace in traces:
-        compare_traces.play(trees.ROOT, "records_of_production", trace, hash_seed=1)
+        compare_traces.play(worktrees.ROOT, "records_of_production", trace, hash_seed=1)
     outcome = compare(lines_of(traces[0]), lines_of(traces[1]))
     assert outcome.equal and "broken" not in outcome.text
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -25,9 +25,9 @@
 from fallpulley.records.messages import Session
 from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster, job_spec
-from tests.test_day_end import started
-from tests.test_edges import open_job
-from tests.test_stories import others, submit
+from tests.test_fault_tolerance import started
+from tests.test_jobs_and_takeovers import others, submit
+from tests.test_settings_and_limits import open_job
 
 DATA = json.loads((pathlib.Path(__file__).parent / "data" / "production.json").read_text())
 TO_COME = {"write_rps": 18.0, "value_kb": 2.0, "txn_ops": 5}
--- a/tests/traces/damage.py
+++ b/tests/traces/corruption.py
@@ -1,4 +1,4 @@
-"""Damage to what controllers are told: answers and messages that cannot be read.
+"""Corruption to what controllers are told: answers and messages that cannot be read.
 
 Commands are changed by position, as `recorder` reads them. Nothing is made up that could be taken
 for a true answer: an answer that cannot be read leaves open what was carried out.
@@ -24,7 +24,7 @@
     return len(fields) == 1 and isinstance(fields[0], bytes)
 
 
-class Damage:
+class Corruption:
     """Damages a part of what comes."""
 
     def __init__(self, chance: random.Random, part: float) -> None:
@@ -34,23 +34,23 @@
     def __call__(self, batch: list[Any]) -> None:
         for command in batch:
             if self.chance.random() < self.part:
-                self.damage(command)
+                self.corrupt(command)
 
-    def damage(self, command: Any) -> None:
+    def corrupt(self, command: Any) -> None:
         names, fields = command.__struct_fields__, fields_of(command)
         if is_outcome(fields):
             if b'"news"' in fields[2] and self.chance.random() < 0.5:
                 # The changes asked for are no longer kept, or are too many for one answer.
                 setattr(command, names[1], self.chance.choice([410, 0]))
             elif fields[1] in (200, 409):
-                setattr(command, names[2], self.broken(fields[2]))
+                setattr(command, names[2], self.corrupted(fields[2]))
         elif is_message(fields):
-            setattr(command, names[0], self.broken_message(fields[0]))
+            setattr(command, names[0], self.corrupted_message(fields[0]))
 
-    def broken(self, body: bytes) -> bytes:
+    def corrupted(self, body: bytes) -> bytes:
         return self.chance.choice([b"", b"{", b"[]", b"\xff\xfe", body[: len(body) // 2]])
 
-    def broken_message(self, body: bytes) -> bytes:
+    def corrupted_message(self, body: bytes) -> bytes:
         payload = PAYLOAD.search(body)
         if payload is None or self.chance.random() < 0.5:
             return body[: self.chance.randrange(1 + len(body))]
--- a/tests/traces/failures.py
+++ b/tests/traces/failures.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from tests.traces.adapter import Cluster
-from tests.traces.damage import Damage
+from tests.traces.corruption import Corruption
 from tests.traces.timeline import Action, Timeline
 
 Failure = Callable[[Cluster, random.Random], Action]
@@ -121,7 +121,7 @@
 
 def answers_damaged(cluster: Cluster, chance: random.Random) -> Action:
     """Some answers and messages cannot be read."""
-    cluster.set_tamper(Damage(chance, chance.choice([0.02, 0.2])))
+    cluster.set_tamper(Corruption(chance, chance.choice([0.02, 0.2])))
     return lambda: cluster.set_tamper(None)
 
 
