--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -15,9 +15,9 @@
 import pytest
 
 from tests import compare_traces
-from tests.traces import names, trees
+from tests.traces import names, worktrees
 from tests.traces.compare import Outcome, compare, lines_of
-from tests.traces.damage import Damage
+from tests.traces.corruption import Corruption
 from tests.traces.names import MissingNameError
 from tests.traces.recorder import Recorder
 
@@ -89,7 +89,7 @@
     out = io.StringIO()
     recorder = Recorder(out)
     controller = object()
-    recorder.began(controller, "node-0", 1)
+    recorder.register_controller(controller, "node-0", 1)
     step = recorder.wrapped(lambda _, batch, now, wall: effects_of(batch))
     for number, batch in enumerate(batches):
         step(controller, batch, float(number), 1e6 + number)
@@ -199,7 +199,7 @@
     logger = logging.getLogger("traces")
     logger.addHandler(recorder._errors)
     controller = object()
-    recorder.began(controller, "node-0", 1)
+    recorder.register_controller(controller, "node-0", 1)
 
     def failing(*arguments: Any) -> list[Any]:
         logger.error("step failed")
@@ -217,32 +217,32 @@
     class After:
         severed = 2
 
-    monkeypatch.setitem(names.ATTRIBUTES, "cut", ("severed", "cut"))
-    assert (names.read(Before(), "cut"), names.read(After(), "cut")) == (1, 2)
+    monkeypatch.setitem(names.ATTRIBUTES, "partitions", ("severed", "cut"))
+    assert (names.read(Before(), "partitions"), names.read(After(), "partitions")) == (1, 2)
     after = After()
-    names.write(after, "cut", 3)
+    names.write(after, "partitions", 3)
     assert after.severed == 3
     with pytest.raises(MissingNameError, match="severed"):
-        names.read(object(), "cut")
+        names.read(object(), "partitions")
 
 
 def test_every_name_is_there_in_the_sources_at_hand() -> None:
     for what in names.PLACES:
         assert names.find(what)
-    world = names.find("World")(1)
-    owners = [names.find("Controller"), world, names.read(world, "state")]
-    owners += names.read(world, "workers").values()
+    cluster = names.find("SimulatedCluster")(1)
+    owners = [names.find("Controller"), cluster, names.read(cluster, "state")]
+    owners += names.read(cluster, "workers").values()
     for attribute, known in names.ATTRIBUTES.items():
         assert any(hasattr(owner, name) for owner in owners for name in known), attribute
 
 
 def test_damage_changes_neither_requests_nor_failed_answers() -> None:
-    damage = Damage(random.Random(1), 1.0)
+    corruption = Corruption(random.Random(1), 1.0)
     for _ in range(50):
         kept = [Request(ticket(), "GET", "/up", b"x"), Result(print, None, b"", 1.0)]
         answer = Result(print, 200, b'{"ledger":7}', 1.0)
         before = [repr(command) for command in kept]
-        damage([*kept, answer])
+        corruption([*kept, answer])
         assert [repr(command) for command in kept] == before
         assert answer.status == 200 and answer.body != b'{"ledger":7}'
 
@@ -250,6 +250,6 @@
 def test_a_scenario_played_twice_gives_the_same_trace(tmp_path: pathlib.Path) -> None:
     traces = [tmp_path / "one.gz", tmp_path / "two.gz"]
     for trace in traces:
-        compare_traces.play(trees.ROOT, "records_of_production", trace, hash_seed=1)
+        compare_traces.play(worktrees.ROOT, "records_of_production", trace, hash_seed=1)
     outcome = compare(lines_of(traces[0]), lines_of(traces[1]))
     assert outcome.equal and "broken" not in outcome.text
