--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -87,7 +87,8 @@
         for extension in self.extensions:
             extension.on_step()
         self.heartbeats.retry_parked()
-        # Work that goes over all machines and jobs is done by the clock, not with every batch.
+        # Work that goes over all machines and jobs is done at intervals, not in every step: each
+        # batch of commands that arrives causes a step.
         if self.context.now < self._next_tick_at:
             return
         self._next_tick_at = (
--- a/fallpulley/controller/shard_lifecycle.py
+++ b/fallpulley/controller/shard_lifecycle.py
@@ -114,8 +114,8 @@
         """Update this controller's share of the budget of changes to the state service.
 
         Owners get larger shares, since they write most of the changes. The shares stay equal until
-        the compact format is adopted: before, controllers may run a version still in
-        production that only knows equal shares.
+        the compact format is adopted: until then, some controllers may run an older version, still
+        in production, that knows only equal shares.
         """
         if not self.context.record_format.compact:
             return
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -53,8 +53,8 @@
     """Return the remaining work of the job's waiting and running tasks, in processor-seconds."""
     estimate_s = shard.estimate_run_s(job)
     if job.spec.kind is SERVICE:
-        # A service runs until it is cancelled. Limited to `drain_s`, its estimate stands for about
-        # the processors that its tasks occupy.
+        # A service runs until it is cancelled, so its work can't be completed in time. With at most
+        # `drain_s` of work for each task, it needs about the processors that its tasks occupy.
         estimate_s = min(estimate_s, drain_s)
     work = job.waiting_count() * estimate_s * cpus_per_task
     for run in job.runs.values():
--- a/fallpulley/fleet/smoothing.py
+++ b/fallpulley/fleet/smoothing.py
@@ -1,8 +1,8 @@
 """Smoothing of a shard's demand over about one boot time.
 
 Jobs often arrive in bursts that are over before a machine rented for them is online. The fleet is
-therefore sized for the moving average of the work, or for a part of the current work if that is
-far above the average.
+therefore sized for the moving average of the work, or for a part of the current work if that part
+is above the average.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 # Time constant of the moving average, in boot times.
 SMOOTHING_BOOT_TIMES = 1.0
-# Share of the current work that counts at least, however low the average is.
+# The smoothed work is at least this share of the current work, however low the average is.
 MIN_CURRENT_WORK_SHARE = 0.6
 # An average that has fallen to this many processor-seconds counts as no work.
 MIN_AVERAGE_WORK = 1.0
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -53,7 +53,7 @@
         owned: OwnedShards,
         is_serving: Callable[[], bool],
     ) -> None:
-        """Create a handler without waiting heartbeats.
+        """Create a handler that holds no heartbeats yet.
 
         `is_serving` tells whether this controller is within its response window, so that it may
         respond to machines.
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -216,7 +216,7 @@
         )
 
     def _respond_after_conflict(self, pending_response: PendingResponse, job_id: str) -> None:
-        """Respond with the current state of the job if it was accepted before."""
+        """Respond with the job's state if it was accepted before, or that nothing was decided."""
         self.responder.respond_when_current(
             pending_response,
             job_id,
--- a/fallpulley/jobs/cancellation.py
+++ b/fallpulley/jobs/cancellation.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-# How often a cancellation is tried again after its write conflicted with another.
+# How many times a cancellation is tried again after its write conflicted with another.
 MAX_CANCEL_RETRIES = 3
 
 
--- a/fallpulley/jobs/job_parts.py
+++ b/fallpulley/jobs/job_parts.py
@@ -124,7 +124,8 @@
         """
         if self.deadline_at_risk:
             return
-        # `node.deadline_at` is when this job must be done: the path after it still has to follow.
+        # `node.deadline_at` is when this job must be done, and leaves time for the path after it.
+        # Both sides of the comparison include that path.
         left_s = node.deadline_at + node.critical_path_s - wall_time
         self.deadline_at_risk = left_s < DEADLINE_RISK_FACTOR * (
             self.remaining_s + node.critical_path_s
--- a/fallpulley/jobs/messages.py
+++ b/fallpulley/jobs/messages.py
@@ -143,7 +143,7 @@
 class Progress(msgspec.Struct):
     """The value of `prog/<id>/<chunk>`: one chunk of the bitmap of a job's completed tasks."""
 
-    bits: str  # base64
+    bits: str  # one bit per task of the chunk, set if it is completed; in base64
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"job_id": "uid", "state": "stage"}):
--- a/fallpulley/membership/session.py
+++ b/fallpulley/membership/session.py
@@ -55,7 +55,8 @@
     def is_live(self) -> bool:
         """Return whether this controller's session certainly exists.
 
-        It exists for one session length from when the last successful renewal was sent.
+        It exists once its key is attached, and for one session length from when the last successful
+        creation or renewal of the lease was sent.
         """
         return self.attached and self.context.now < self.renewed_at + self.context.timing.session_s
 
--- a/fallpulley/membership/shard_creation.py
+++ b/fallpulley/membership/shard_creation.py
@@ -66,10 +66,12 @@
         record_format = self._context.record_format
         shards = self._registry.shards
         if record_format.compact and self._registry.first_format_shards:
-            # These records shrink when rewritten; a further shard would cost more than it carries.
+            # Records in the first format shrink when they are rewritten. That makes room at less
+            # cost than a further shard.
             return False
         if record_format.paged and not all(record.pages for record, _ in shards.values()):
-            return False  # a full record is divided into pages before a shard is added
+            # Some record is not divided into pages yet. That makes room, so it is done first.
+            return False
         full_bytes = FULL_RECORD_SHARE * record_format.value_bytes
         record_bytes = self._registry.record_bytes
         return bool(shards) and all(record_bytes[shard_id] > full_bytes for shard_id in shards)
--- a/fallpulley/placement/estimate.py
+++ b/fallpulley/placement/estimate.py
@@ -8,7 +8,8 @@
 
 # Weight of one completed task in the correction factor of its class (moving average).
 CLASS_WEIGHT = 0.05
-# The corrected estimate weighs as much as this many completed tasks of the job itself.
+# A job's estimate is the mean of the run times of its completed tasks and of the corrected
+# estimate, which counts as this many tasks.
 PRIOR_TASKS = 2.0
 # The least remaining time of a running task, as a share of the longer of its estimate and the time
 # that it has run: run times within one job differ by half, and the estimate may be too low.
@@ -55,5 +56,9 @@
 
 
 def remaining_run_time(estimate_s: float, ran_s: float) -> float:
-    """Estimate how many seconds a task that has run for `ran_s` still needs (`OVERRUN_SHARE`)."""
+    """Estimate how many seconds a task that has run for `ran_s` still needs.
+
+    This is the rest of its estimate, but at least `OVERRUN_SHARE` of the longer of `estimate_s` and
+    `ran_s`, so a task past its estimate is never expected to end at once.
+    """
     return max(estimate_s - ran_s, OVERRUN_SHARE * max(estimate_s, ran_s))
--- a/fallpulley/placement/machine_pool.py
+++ b/fallpulley/placement/machine_pool.py
@@ -7,15 +7,15 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import Resources
 
-# Finish times are compared in units of this share of the run-time estimate, and cost decides
-# between equal ones: machines of one type differ by up to a tenth in speed, so that smaller
+# Finish times are compared in units of this share of the run-time estimate (finish units), and cost
+# decides between equal ones: machines of one type differ by up to a tenth in speed, so that smaller
 # differences mean nothing.
 EQUAL_FINISH_SHARE = 0.1
-# Exception 1: a task waits for resources that are still in use only if that lets it finish earlier
-# by this share of its run-time estimate. When they become free depends on estimates, which are
-# often wrong by half; resources that are free now are certain.
+# Exception 1 (to MOWS, see `fallpulley.placement`): a task waits for resources that are still in
+# use only if that lets it finish earlier by this share of its run-time estimate. When they become
+# free depends on estimates, which are often wrong by half; resources that are free now are certain.
 FUTURE_START_PENALTY = 0.5
-# The same penalty in finish units (see EQUAL_FINISH_SHARE).
+# The same penalty in finish units, in which finish times are compared (see EQUAL_FINISH_SHARE).
 FUTURE_START_UNITS = FUTURE_START_PENALTY / EQUAL_FINISH_SHARE
 # The smallest finish unit in seconds, for estimates near zero.
 MIN_FINISH_UNIT_S = 1e-3
@@ -171,7 +171,8 @@
         """Count machines without room for the resources as full; return whether any has room.
 
         `starts` is how many tasks the plan has started so far. Nothing is done if fewer than
-        `PRUNE_INTERVAL_STARTS` of them came after the last call that pruned for the same resources.
+        `PRUNE_INTERVAL_STARTS` of them came after the last call that pruned for the same resources,
+        since little has changed by then.
         """
         if (
             resources == self._pruned_for
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -23,9 +23,10 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import Resources
 
-# Exception 7: how many bookings with a future start one plan makes, for each machine. They only
-# reserve resources until the next plan, which comes long before most of them start. Once they are
-# used up, the plan books only starts now, still without delaying the future bookings made before.
+# Exception 7 (to MOWS, see `fallpulley.placement`): how many bookings with a future start one plan
+# makes, for each machine. They only reserve resources until the next plan, which comes long before
+# most of them start. Once they are used up, the plan books only tasks that start now, still without
+# delaying the future bookings made before.
 FUTURE_BOOKINGS_PER_MACHINE = 0.25
 
 
@@ -49,7 +50,7 @@
 
 
 def make_plan(jobs: list[PendingJob], snapshots: list[MachineSnapshot], now: float) -> Plan:
-    """Book the tasks of the queue in order, each with its earliest finish."""
+    """Book the tasks in queue order, each where and when it finishes earliest."""
     builder = _PlanBuilder(snapshots, now)
     queue = sorted(jobs, key=queue_order)
     # Once no machine has room now for the smallest demand of the remaining jobs, none of them can
--- a/fallpulley/placement/profile.py
+++ b/fallpulley/placement/profile.py
@@ -62,7 +62,7 @@
         return other
 
     def advance_to(self, now: float) -> None:
-        """Move the beginning of a profile that was made earlier to `now`.
+        """Move the beginning of a profile that was made earlier, and is still valid, to `now`.
 
         A booking made from the old beginning could end before `now` and so reserve nothing. The
         profile stays as it is if its first step ends by then.
--- a/fallpulley/placement/queue.py
+++ b/fallpulley/placement/queue.py
@@ -24,10 +24,10 @@
     image: str
     image_gb: float
     remaining_s: float  # estimated remaining time of the job, in seconds
-    overdue: bool  # placed before jobs that are not: past its age bound, or about to be late
+    overdue: bool  # has waited too long, or its deadline is at risk: placed before other jobs
     submitted_at: float  # seconds since the epoch; of a pipeline's job, when it became ready
     allow_spot: bool
-    priority_level: int = 1  # level of the job's priority, higher is more urgent
+    priority_level: int = 1  # highest of the job and of those that depend on it; higher is urgent
     machine_types: list[str] | None = None  # None: all types are allowed
     zone: str | None = None  # None: all zones are allowed
     zone_limits: dict[str, int] | None = None  # how many more tasks each zone may get (spread jobs)
--- a/fallpulley/scheduling/age_bound.py
+++ b/fallpulley/scheduling/age_bound.py
@@ -1,6 +1,7 @@
 """Rules for jobs that have waited too long: the age bound, exception 6 and exception 9.
 
-They place such jobs ahead of the shortest-first order of the queue.
+They place such jobs ahead of the shortest-first order of the queue. The exceptions are numbered as
+in `fallpulley.placement`.
 """
 
 from __future__ import annotations
@@ -46,8 +47,8 @@
 ) -> None:
     """Mark jobs as overdue that are about to miss their class's `wait` objective (exception 9).
 
-    In queue order, until their tasks would need more than `MAX_LATE_WORK_SHARE` of the fleet's
-    processors, `fleet_cpus`.
+    The jobs are marked in queue order, which puts the shortest first, until their tasks would need
+    more than `MAX_LATE_WORK_SHARE` of the fleet's processors, `fleet_cpus`.
     """
     bounds = _start_bounds(context)
     if not bounds:
--- a/fallpulley/scheduling/pending_jobs.py
+++ b/fallpulley/scheduling/pending_jobs.py
@@ -51,7 +51,7 @@
 
 
 def _may_be_placed(job: OpenJob, shard: Shard, now: float) -> bool:
-    """Return whether the job is open and ready, and all its running tasks are known here."""
+    """Return whether the job is open, ready and not in back-off, with all running tasks known."""
     return not (
         job.cancelled
         or job.finished
@@ -68,11 +68,14 @@
     first_count = first_task_count(job, context) - len(job.runs)
     if first_count <= 0:
         return [entry]
-    # Otherwise a steady flow of shorter or urgent jobs would starve this one.
+    # Without an entry that comes first, a steady flow of shorter or urgent jobs would starve the
+    # job.
     first_count = entry.task_count if entry.all_at_once else min(first_count, entry.task_count)
     first = msgspec.structs.replace(entry, task_count=first_count, starved=True)
     if job.spec.one_zone or job.spec.spread:
-        return [first]  # as two entries, each would choose its zones without the other
+        # One plan places the first tasks only: two entries would be assigned zones independently of
+        # each other, so that the job as a whole could break its zone restriction.
+        return [first]
     entry.task_count -= first_count
     return [first, entry]
 
--- a/fallpulley/scheduling/planner.py
+++ b/fallpulley/scheduling/planner.py
@@ -33,7 +33,7 @@
         self._replan_at = float("-inf")
 
     def plan(self, agents: dict[str, ShardAgent]) -> bool:
-        """Plan the shards that need it if the wait is over; return whether any was planned."""
+        """Plan the shards that need it, unless it is too early; return whether any was planned."""
         now = self.context.now
         if now < self.next_plan_at:
             return False
--- a/fallpulley/scheduling/snapshot_builder.py
+++ b/fallpulley/scheduling/snapshot_builder.py
@@ -46,7 +46,9 @@
         if snapshot is None or now >= snapshot.valid_until:
             machine_type = machine_types.get(machine.entry.machine_type)
             if machine_type is None or _holds_unknown_tasks(machine):
-                continue  # free resources unknown, in the second case until the tasks are stopped
+                # What is free on the machine is unknown: either its type is, or it holds unknown
+                # tasks, and then only until these are stopped.
+                continue
             snapshot = machine.snapshot = builder.build(machine, machine_type)
         snapshots.append(snapshot)
     return snapshots
--- a/fallpulley/scheduling/team_limits.py
+++ b/fallpulley/scheduling/team_limits.py
@@ -28,7 +28,7 @@
         self._limited_teams = {name: team for name, team in teams.items() if team.limited}
 
     def must_wait(self, job: OpenJob) -> bool:
-        """Return whether the job has to wait: its team has a limit and its usage isn't known."""
+        """Return whether the job must wait: unknown tasks may have used up its team's limit."""
         return job.spec.team in self._limited_teams and not self._usage_known
 
     def apply(self, jobs: list[PendingJob]) -> None:
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -28,7 +28,7 @@
 _STOP = Operation.STOP
 _START = Operation.START
 
-# Bound for the same reason: they are read for every task of a heartbeat.
+# Bound to module names for the same speed-up: they are read for every task of a heartbeat.
 _EXITED = TaskState.EXITED
 _DONE = ExitReason.DONE
 
--- a/fallpulley/shards/fencing_prober.py
+++ b/fallpulley/shards/fencing_prober.py
@@ -60,7 +60,8 @@
 
     def _may_probe(self, machine: Machine) -> bool:
         now = self.context.now
-        # The response to its last heartbeat carried this owner's token; the next one reports it.
+        # A machine that sent a heartbeat within the last interval is sent this owner's token in the
+        # response, and reports it with its next heartbeat: it needs no probe until then.
         has_token = (
             now < machine.fencing.unfenced_heartbeat_at + self.context.timing.heartbeat_interval_s
         )
--- a/fallpulley/shards/job_stops.py
+++ b/fallpulley/shards/job_stops.py
@@ -19,7 +19,12 @@
         commands.stop(run, 0.0)
     if not job.runs:
         shard.jobs.pop(job.job_id, None)
-    log.info("job ended job=%s cancelled=%s count=%d", job.job_id, cancelled, len(job.runs))
+    log.info(
+        "job ended, stopping its attempts job=%s cancelled=%s count=%d",
+        job.job_id,
+        cancelled,
+        len(job.runs),
+    )
 
 
 def stop_broken_gangs(shard: Shard, commands: MachineCommands) -> None:
