--- a/fallpulley/capacity.py
+++ b/fallpulley/capacity.py
@@ -19,8 +19,8 @@
 # Memory in MiB after its start, rounded up, and further memory for each machine, from the largest
 # owner measured (950 machines, 1,400 jobs).
 START_MEMORY_MB, MACHINE_MEMORY_MB = 24.0, 0.05
-# Longest start in worker leases: to take part in a failover, a controller has to start well within
-# a lease.
+# Maximum duration of a controller's start, as a share of a worker's lease: to take part in a
+# failover, it has to start well within a lease.
 MAX_START_LEASES = 0.5
 
 
@@ -78,9 +78,11 @@
 
 
 def find_fleet_shortages(settings: Settings, machine_count: int) -> list[Shortage]:
-    """Return what a controller lacks to serve `machine_count` machines as the last one left.
+    """Return what the deployment lacks to serve `machine_count` machines.
 
-    A shortage breaks no guarantee: requests that cannot be served are refused or late.
+    Each controller must be able to serve all of them alone, in case no other one is left. Besides,
+    there must be enough controllers to serve them in time together. A shortage breaks no guarantee:
+    requests that cannot be served are refused or late.
     """
     limits = settings.facts.machine_limits
     core_share = (
--- a/fallpulley/cloud/messages.py
+++ b/fallpulley/cloud/messages.py
@@ -75,7 +75,7 @@
     machine_type: str
     zone: str
     spot: bool  # whether they are spot machines, which the cloud may preempt
-    count: int  # of machines
+    count: int  # number of machines to rent
 
     @property
     def offer(self) -> Offer:
--- a/fallpulley/duties/messages.py
+++ b/fallpulley/duties/messages.py
@@ -12,7 +12,7 @@
 
 
 class Duty(StrEnum):
-    """A kind of action that one controller at a time carries out; its value stands in records."""
+    """A kind of action that one controller at a time carries out; records contain its value."""
 
     SCALE_OUT = "renting"  # machines are rented
     RELEASE = "returning"  # machines are released to the cloud
--- a/fallpulley/duties/registry.py
+++ b/fallpulley/duties/registry.py
@@ -52,7 +52,9 @@
             try:
                 record = msgspec.json.decode(value, type=DutyRecord)
             except msgspec.MsgspecError:
-                log.error("record undecodable key=%s", DUTY_PREFIX + duty)
+                log.error(
+                    "stored record is malformed and treated as absent key=%s", DUTY_PREFIX + duty
+                )
         if record is None:
             self.duties.pop(duty, None)
             return
@@ -66,7 +68,7 @@
         try:
             intent = msgspec.json.decode(value, type=Intent)
         except msgspec.MsgspecError:
-            log.error("record undecodable key=%s", key)
+            log.error("stored record is malformed and treated as absent key=%s", key)
             return changed
         self.intents[key] = RecordedIntent(intent, mod_revision)
         if isinstance(intent.action, Release):
--- a/fallpulley/effects.py
+++ b/fallpulley/effects.py
@@ -75,7 +75,7 @@
 
     @property
     def response(self) -> Response:
-        """The outcome as the response handler takes it."""
+        """The outcome as a `Response`, the argument of the response handler."""
         return Response(self.status, self.body, self.sent_at)
 
 
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -134,12 +134,13 @@
         return not any(self.is_recent(controller_id) for controller_id in self.last_heartbeats)
 
     def is_stale(self, fresh_at: float) -> bool:
-        """Return whether a live peer reached the state service clearly later than this controller.
+        """Return whether this controller's watch cache is stale compared to that of a live peer.
 
-        `fresh_at`: when this controller last reached it, by the monotonic clock. A peer's
-        staleness is subtracted from the time at which its heartbeat arrived, not from now: in an
-        outage of the service all controllers' last watches are equally old, and a heartbeat from
-        before the outage must not make its sender's seem newer.
+        It is if the peer reached the state service more than `STALE_SECONDS` after `fresh_at`,
+        when this controller last did (monotonic clock, in seconds). The peer's time is that of the
+        arrival of its last heartbeat, less the staleness which that heartbeat states. The age of
+        the heartbeat must count: in an outage of the service all controllers' caches become stale
+        together, although the peers' last heartbeats state the staleness of some seconds ago.
         """
         stale_before = fresh_at + STALE_SECONDS
         return any(
--- a/fallpulley/persistence/job_persistence.py
+++ b/fallpulley/persistence/job_persistence.py
@@ -48,7 +48,10 @@
         self._cancellations_pending: set[str] = set()  # jobs whose cancellation is being written
 
     def tick(self, shard: Shard, cancelled_with_dependencies: dict[str, JobEntry]) -> None:
-        """Queue the writes that are due for an owned shard, or load its progress first.
+        """Queue the writes that are due for an owned shard.
+
+        Until the shard's stored progress is loaded, which this call starts if necessary, only
+        dependent cancellations are written.
 
         `cancelled_with_dependencies`: jobs of the shard that are cancelled because a job that
         they depend on is cancelled, and whose own records do not say so yet.
--- a/fallpulley/record_format.py
+++ b/fallpulley/record_format.py
@@ -33,7 +33,8 @@
         self, limits: StateLimits, controller_count: int, state_client: StateClient
     ) -> None:
         self.number = FIRST_FORMAT
-        # The lower of each limit in force now and the one announced for after an upgrade.
+        # For each limit, the lower of the present one and the one announced in the settings for
+        # some time after an upgrade.
         self.strictest_limits = limits.strictest()
         self._limits = limits
         self._controller_count = controller_count
--- a/fallpulley/records/layout.py
+++ b/fallpulley/records/layout.py
@@ -21,8 +21,10 @@
 def encode_single_value(record: ShardRecord, machines: Machines, limits: RecordLimits) -> bytes:
     """Return the record with these machines as one value; it may exceed `limits.value_bytes`.
 
-    Addresses that do not fit are left out only where pages would not help: in formats without
-    pages, and for a single machine.
+    Where the machines can be laid out in pages instead, addresses are left out only if the value
+    would exceed a whole transaction, or if it is too large with a single machine. In the compact
+    format, which has no pages, they are left out if the value would exceed its limit. The first
+    format always keeps them.
     """
     changed = ShardRecord(record.owner, record.incarnation, machines, record.previous_owners)
     max_bytes = MAX_TRANSACTION_BYTES if limits.paged else limits.value_bytes
@@ -100,9 +102,10 @@
 
 
 def can_merge_pages(record: ShardRecord, added: int, limits: RecordLimits) -> bool:
-    """Return whether the pages fit into a single value, with room for machines to be added.
+    """Return whether the machines of all pages are to be merged into a single value.
 
-    `added`: how many machines are to be added.
+    They are if they are few enough together with the `added` machines still to be added, if they
+    fill at most half of a value, and if one transaction can delete all pages.
     """
     if len(record.machines) + added > MAX_MERGED_MACHINES:
         return False
--- a/fallpulley/records/record_update.py
+++ b/fallpulley/records/record_update.py
@@ -44,7 +44,8 @@
     }
     added = list(change.add)
     if limits.paged:
-        # At most one machine above the limit, so that the next update lays out the record in pages.
+        # Let the record grow to at most one machine above the limit of a single value. The next
+        # update finds it above the limit and lays it out in pages.
         del added[max(0, MAX_SINGLE_VALUE_MACHINES + 1 - len(machines)) :]
     machines.update((machine_id, change.add[machine_id]) for machine_id in added)
     change.apply_to_entries(machines)
--- a/fallpulley/records/registry.py
+++ b/fallpulley/records/registry.py
@@ -67,7 +67,7 @@
         self._processor_counts = ProcessorCounts()
 
     def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> str | None:
-        """Apply the new value of a key; None if the key was deleted.
+        """Apply a change of a key; `value` is None if the key was deleted.
 
         Returns the id of the shard whose published record changed, or None if none did.
         """
--- a/fallpulley/records/release_records.py
+++ b/fallpulley/records/release_records.py
@@ -15,7 +15,8 @@
 MAX_RELEASED_PER_RECORD = 40
 # Maximum size of a release record, as a fraction of the size that a value may have.
 MAX_RELEASE_RECORD_SHARE = 0.25
-# In the first format: changes of a transaction reserved for other values than release records.
+# Number of changes in a transaction that are reserved for other values than release records, in the
+# first format, where each released machine takes a change of its own.
 FIRST_FORMAT_RESERVED_CHANGES = 3
 
 
--- a/fallpulley/records/transactions.py
+++ b/fallpulley/records/transactions.py
@@ -68,9 +68,9 @@
         """Return a transaction that moves machines to one other shard; None if none can move now.
 
         The receiving shard is that of the first pending move. Both records are written at the
-        same revision, so both shards' new fencing tokens are higher than all earlier ones. If
-        the transaction would exceed the limits, all moves are discarded from `pending` and the
-        machines stay.
+        same revision, so both shards' new fencing tokens are higher than all earlier ones. If no
+        transaction within the limits can move any of the machines, or make room for them, all
+        moves are discarded from `pending` and the machines stay.
         """
         receiver_id = next(iter(pending.moving.values()), None)
         receiver = self._registry.shards.get(receiver_id) if receiver_id is not None else None
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -97,7 +97,10 @@
         self._shards_without_previous_owners.add(shard_id)
 
     def forget_shard(self, shard_id: str) -> None:
-        """Discard the requests that only an owner may make, because the shard has another owner."""
+        """Discard this controller's requests for a shard that another controller now owns.
+
+        Only requests to add machines stay: any controller may make these.
+        """
         self._pending[shard_id].clear_owners_requests()
         self._shards_without_previous_owners.discard(shard_id)
 
--- a/fallpulley/serve.py
+++ b/fallpulley/serve.py
@@ -57,7 +57,8 @@
 IDLE_CHECK_SECONDS = 5.0
 # Minimum number of sockets of the mesh server, and of the client for calls to workers.
 MIN_SOCKETS = 8
-# Minimum of the adaptive limit on user requests in progress, and the least value of its maximum.
+# Lower bound of the adaptive limit on user requests in progress. Its upper bound is half of the
+# public sockets, but at least `MIN_USER_REQUEST_CEILING`.
 MIN_USER_REQUEST_LIMIT = 8
 MIN_USER_REQUEST_CEILING = 16
 
--- a/fallpulley/settings.py
+++ b/fallpulley/settings.py
@@ -98,8 +98,9 @@
 
 
 class FutureStateLimits(msgspec.Struct, frozen=True):
-    """Limits of the state service that come into force, unannounced, some time after an upgrade.
+    """Limits of the state service that come into force some time after an upgrade.
 
+    The settings announce the limits; nothing announces the time.
     Units are those of `StateLimits`; None means that the limit stays as it is.
     """
 
--- a/fallpulley/shard_sizes.py
+++ b/fallpulley/shard_sizes.py
@@ -9,7 +9,7 @@
 # Processor time of one heartbeat on a whole core, including its share of planning and of responses
 # to users: measured on simulated controllers and rounded up.
 HEARTBEAT_CPU_SECONDS = 0.0002
-# Share of a controller's processor share that heartbeats may use. It is set high because a second
+# Share of a controller's processor time that heartbeats may use. It is set high because a second
 # shard costs more than an owner that responds late: with 632 machines and 9% of a core, the second
 # shard changed owners whenever a controller came back, and was each time unreconciled for a
 # response window and a lease.
--- a/fallpulley/shares/messages.py
+++ b/fallpulley/shares/messages.py
@@ -64,7 +64,7 @@
 
     shard_id: str
     owner: str
-    target: float | None  # target size in processors; null: no shares are set
+    target: float | None  # target size in processors; null: no shares are set, any size will do
     processors: float  # present size in processors
     machines: int
     # A ShardProgress, as a string since controllers of other versions may have further values.
--- a/fallpulley/shares/policy.py
+++ b/fallpulley/shares/policy.py
@@ -1,8 +1,9 @@
 """Evaluates the share policy, an expression in CEL (Common Expression Language) set by operators.
 
 It computes the weights of the shares from load, backlog and the hour of the day. The CEL library
-is imported only if an expression is set. An expression cannot contain loops, its length and its
-number of macros are limited, and this process stops using one that fails or takes too long.
+is imported only if an expression is set. CEL has no loops other than macros over the elements of a
+list or map. The length of an expression and its number of macros are limited, and this process
+stops using one that fails or takes too long.
 """
 
 from __future__ import annotations
--- a/fallpulley/shares/record.py
+++ b/fallpulley/shares/record.py
@@ -33,7 +33,7 @@
         try:
             self.table = msgspec.json.decode(value, type=ShareTable)
         except msgspec.MsgspecError:
-            log.error("record undecodable key=%s", SHARES_KEY)
+            log.error("stored record is malformed, keeping the last shares key=%s", SHARES_KEY)
             return
         log.info("shares updated revision=%d count=%d", self.table.revision, len(self.table.shares))
 
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -49,7 +49,10 @@
     # -- decisions -------------------------------------------------------------------------
 
     def shard_of_team(self, team: str) -> str | None:
-        """Return the shard for a team's new jobs; None if no share with a shard names the team."""
+        """Return the shard for a team's new jobs.
+
+        None if no share lists the team, or if the controller of that share has no shard yet.
+        """
         for controller_id, share in self._record.table.shares.items():
             if team in share.teams and controller_id in self._access.registry.shards:
                 return controller_id
--- a/fallpulley/standby/messages.py
+++ b/fallpulley/standby/messages.py
@@ -75,7 +75,7 @@
 
     controller_id: str  # of the controller that received the replaced owner's message
     shard_id: str
-    token: int  # shows the replacement: it is higher than the token of the replaced owner
+    token: int  # a revision of the shard's record above the token of the replaced owner
 
 
 ReplicationMessage = LogBatch | SnapshotPart
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -25,8 +25,8 @@
 
 log = logging.getLogger(__name__)
 
-# Capacity of a log in entries per socket: one machine per socket, with one entry for each of this
-# many heartbeats.
+# Number of heartbeats whose entries a log keeps: one entry per heartbeat and machine, for as many
+# machines as the controller has sockets.
 LOG_HEARTBEATS = 8.0
 # Share of the controller's allowance of processor time (`core_share`) that sending may use.
 SEND_CORE_SHARE = 0.02
@@ -61,7 +61,8 @@
         # By shard_id; only owned shards that were acquired with a usable replica.
         self.expected_tasks: dict[str, ExpectedTasks] = {}
         self._send = send
-        self._logged_replaced: set[str] = set()  # owned shards logged as owned by another by now
+        # Shards for which it was logged that this controller was replaced as their owner.
+        self._logged_replaced: set[str] = set()
         self._logged_lagging: set[str] = set()  # followed shards logged as lagging
         # In seconds of the monotonic clock.
         self._next_check_at = float("-inf")
@@ -203,7 +204,7 @@
     # -- leadership ------------------------------------------------------------------------
 
     def hold_off_s(self) -> float:
-        """Return how long to leave a free leadership to others with newer replicas, in seconds.
+        """Return how long to leave a vacant leadership to others with newer replicas, in seconds.
 
         After that time this controller claims the leadership even if those others have sessions.
         """
--- a/fallpulley/standby/stream.py
+++ b/fallpulley/standby/stream.py
@@ -122,7 +122,10 @@
         return messages
 
     def on_follower_restarted(self, follower: str) -> None:
-        """Reset the position of a follower that has a new process, to ask for it at once."""
+        """Reset the position of a follower that has a new process.
+
+        The next message is sent at once and asks the follower for its position.
+        """
         if follower in self.positions:
             self.positions[follower] = FollowerPosition()
 
@@ -224,7 +227,12 @@
             self._start_snapshot(position)
 
     def _on_part_needed(self, position: FollowerPosition, part_index: int) -> None:
-        """Prepare the part that a follower needs; with index 0 it accepts any snapshot."""
+        """Prepare to send the snapshot part that a follower needs next.
+
+        A new snapshot is taken if none is being sent or if it has no such part. The same holds if
+        the follower needs part 0 after later parts were sent: it starts over, and the part may be
+        that of any snapshot.
+        """
         position.responded, position.in_flight = True, False
         position.acknowledged_number = NO_REPLICA
         restarted = part_index == 0 and position.next_part > 0
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -36,8 +36,9 @@
 # lease renewal or an accepted job never waits until the tokens that a burst of less urgent
 # requests has spent are refilled.
 RESERVED_SHARE = {RequestPriority.PROGRESS: 0.4, RequestPriority.READ: 0.2}
-# Share of the change bucket's capacity that a write needs at most, however many changes it has:
-# otherwise a write with more changes than the capacity would never be sent.
+# Share of the change bucket's capacity that is enough to send any write; a smaller write needs only
+# one token for each of its changes. Without this, a write with more changes than the capacity would
+# never be sent.
 MAX_REQUIRED_SHARE = 0.5
 # Timeout of transactions, and of requests that are queued without one.
 REQUEST_TIMEOUT_SECONDS = 1.5
@@ -51,7 +52,8 @@
     body: bytes | None
     timeout_s: float
     on_response: ResponseHandler
-    expires_at: float  # monotonic clock, in seconds; not sent by then, it is refused
+    # Time after which the request is refused if it is still queued (monotonic clock, in seconds).
+    expires_at: float
 
 
 def _ignore_future_limits() -> None:
--- a/fallpulley/state/messages.py
+++ b/fallpulley/state/messages.py
@@ -14,7 +14,7 @@
 
     key: str
     value: msgspec.Raw  # encoded as JSON
-    mod_revision: int  # of the store, when the key last changed
+    mod_revision: int  # revision of the store at which the key last changed
 
 
 class Page(msgspec.Struct, rename={"items": "pairs", "revision": "ledger"}):
@@ -22,13 +22,13 @@
 
     items: list[Item]
     has_next: bool  # there are more pages
-    revision: int  # of the store when the page was read
+    revision: int  # revision of the store when the page was read
 
 
 class Event(msgspec.Struct, rename={"mod_revision": "stamp", "delete": "drop", "value": "v"}):
     """A change of one key, which is named by `set` or by `delete`."""
 
-    mod_revision: int  # of the store, with this change
+    mod_revision: int  # revision of the store that this change produced
     set: str | None = None
     delete: str | None = None
     value: msgspec.Raw = msgspec.Raw(b"null")  # encoded as JSON; meaningful with `set` only
@@ -37,7 +37,7 @@
 class Events(msgspec.Struct, rename={"revision": "ledger", "events": "news"}):
     """The changes of a prefix after the requested revision, in the order of their revisions."""
 
-    revision: int  # of the store, up to which the changes are complete
+    revision: int  # revision of the store up to which the changes are complete
     events: list[Event] = []
 
 
--- a/fallpulley/state/paged_load.py
+++ b/fallpulley/state/paged_load.py
@@ -29,7 +29,7 @@
 
         Args:
             client: sends the requests.
-            prefix: of the keys to be read.
+            prefix: the prefix of the keys to be read.
             on_item: called with each key and its value when its page arrives.
             on_loaded: called after the last page with the set of all keys and the store's revision
                 at the first page. Changes after this revision may or may not be among the items.
--- a/fallpulley/state/transactions.py
+++ b/fallpulley/state/transactions.py
@@ -33,7 +33,7 @@
     # 200 (committed), 409 (a condition failed), 400 (invalid) or 503 (not carried out); None: the
     # outcome is unknown, and the write may still be carried out later.
     status: int | None
-    revision: int = 0  # of the store, with the write; 0 unless it was committed
+    revision: int = 0  # revision of the store that the write produced; 0 unless it was committed
 
     @property
     def committed(self) -> bool:
@@ -97,7 +97,8 @@
     on_result: WriteCallback  # called once
     priority: RequestPriority = RequestPriority.ACCEPT
     isolated: bool = False  # sent in a transaction of its own
-    expires_at: float = float("inf")  # monotonic clock, in seconds; not sent by then, it is refused
+    # Time after which the write is refused if it is still queued (monotonic clock, in seconds).
+    expires_at: float = float("inf")
 
     def estimated_bytes(self) -> int:
         """Return an upper bound of the encoded size in bytes.
@@ -118,7 +119,7 @@
 class TransactionResponse(msgspec.Struct, rename={"revision": "ledger"}):
     """The response to a transaction that was committed or whose conditions failed."""
 
-    revision: int = 0  # of the store, with the transaction
+    revision: int = 0  # revision of the store that the transaction produced
     failed: list[str] = []  # keys whose condition failed
 
 
--- a/fallpulley/state/watch_cache.py
+++ b/fallpulley/state/watch_cache.py
@@ -55,7 +55,7 @@
         Args:
             client: sends the requests.
             wait_s: how long the service may hold a watch open until a key changes.
-            min_interval_s: from when a successful watch was sent until the next one starts.
+            min_interval_s: least time from the sending of a successful watch to the next watch.
         """
         self.client = client
         self.wait_s = wait_s
@@ -185,6 +185,6 @@
         try:
             self._on_key_changed(key, value, mod_revision)
         except Exception:
-            # A record that cannot be handled must not keep all later ones from being applied:
-            # no job would be known.
+            # A record that cannot be handled must not keep all later ones from being applied.
+            # Otherwise this controller would not know of any job.
             log.exception("handling of changed record failed key=%s", key)
--- a/fallpulley/wire/client.py
+++ b/fallpulley/wire/client.py
@@ -229,7 +229,7 @@
             task_group: runs the tasks that open connections.
             max_connections: open connections beyond which calls wait.
             priority_addresses: addresses, as host:port, to which calls do not wait.
-            limits: of responses and idle connections.
+            limits: limits of responses and idle connections.
         """
         self.max_connections = max_connections
         self.priority_addresses = frozenset(priority_addresses)
--- a/fallpulley/wire/limit.py
+++ b/fallpulley/wire/limit.py
@@ -45,7 +45,7 @@
         """Create a limit between `min_limit` and `max_limit` requests in progress."""
         self.min_limit, self.max_limit = float(min_limit), float(max_limit)
         self.limit = float(min(max_limit, max(min_limit, INITIAL_LIMIT)))
-        self.in_progress = 0  # requests
+        self.in_progress = 0  # number of requests in progress
         self._best_s: float | None = None
         self._mean_s = 0.0
 
@@ -71,7 +71,9 @@
         acceptable_s = max(TOLERATED_SLOWDOWN * self._best_s, PROMPT_SECONDS)
         gradient = max(MIN_GRADIENT, min(1.0, acceptable_s / self._mean_s))
         if gradient >= 1.0 and not was_half_used:
-            return  # while less than half of the limit is used, it does not grow
+            # While less than half of the limit is used, good response times do not show that a
+            # higher limit could be served, so it does not grow.
+            return
         target = self.limit * gradient + math.sqrt(self.limit)
         smoothed = LIMIT_WEIGHT * self.limit + TARGET_WEIGHT * target
         self.limit = max(self.min_limit, min(self.max_limit, smoothed))
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -41,7 +41,8 @@
     max_head_bytes: int = 16 * 1024  # of a request's head
     max_body_bytes: int = 64 * 1024  # of a request's body
     idle_s: float = 75.0  # how long a connection may be idle between requests
-    read_s: float = 10.0  # time limit for the rest of a request, from the latest data of its head
+    # Time limit for receiving the rest of a request; restarted by each part of its head.
+    read_s: float = 10.0
     write_s: float = 10.0  # time limit for the client to receive a response
     response_s: float = 15.0  # time limit for the controller, which always responds well before
     check_interval_s: float = 2.0  # between two checks for overdue connections
@@ -291,8 +292,8 @@
         self.http.start_next_cycle()
         self.server.on_idle(self)
         if self.http.trailing_data[0]:
-            # Not read at once: the controller carries out the effects of a step now, and the next
-            # request belongs to its next batch of commands.
+            # The next request has arrived already. It belongs to the controller's next batch of
+            # commands, so it is read only after the effects of the present step are carried out.
             asyncio.get_running_loop().call_soon(self._read_request)
 
     def _send(
@@ -354,7 +355,7 @@
             on_request: called with each whole request.
             max_connections: how many connections may be open.
             user_request_limit: user requests beyond it are refused at once; None: no limit.
-            limits: of requests and connections.
+            limits: limits of requests and connections.
         """
         self.address = address
         self.on_request = on_request
@@ -365,7 +366,9 @@
         # Connections that wait for their next request, longest idle first.
         self._idle_users: dict[Connection, None] = {}
         self._idle_others: dict[Connection, None] = {}
-        self._close_machines_until = float("-inf")  # monotonic clock, in seconds
+        # Until when machines' connections are closed after their response while the server is at
+        # capacity (monotonic clock, in seconds); see `ServerLimits.close_machines_s`.
+        self._close_machines_until = float("-inf")
 
     @property
     def at_capacity(self) -> bool:
@@ -383,7 +386,7 @@
     # -- idle connections ------------------------------------------------------------------
 
     def on_idle(self, connection: Connection) -> None:
-        """Add a connection whose request was responded to to the idle connections."""
+        """Add a connection to the idle ones, after the response to its request."""
         is_user = connection.client_kind is _USER
         idle = self._idle_users if is_user else self._idle_others
         idle[connection] = None
--- a/fallpulley/workers/heartbeat_changes.py
+++ b/fallpulley/workers/heartbeat_changes.py
@@ -68,8 +68,9 @@
 def _begin_epoch(machine: Machine, changes: HeartbeatChanges) -> None:
     """Drop all runs: a worker begins a new epoch after it has killed and forgotten its tasks.
 
-    It does so when its lease expires. If its heartbeats never stopped, or the last start command
-    was never acknowledged, this owner's responses have not reached it.
+    A worker does so when its lease expires. If its heartbeats have arrived all the time, or no
+    heartbeat acknowledged the last start command, the lease expired because this owner's responses
+    did not reach the worker. On a fenced machine, that counts as a missed start.
     """
     responses_missed = machine.heartbeat.online or machine.heartbeat.start_unacknowledged
     changes.start_missed = responses_missed and machine.fencing.fenced
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -73,7 +73,10 @@
 
     @property
     def usable(self) -> bool:
-        """Whether it may get tasks: it is online, commands reach it and it is not to leave."""
+        """Whether it can get tasks: it is online, commands reach it and nothing takes it away.
+
+        A draining machine is usable as well, although no new tasks are placed on it.
+        """
         scale_in, fencing = self.scale_in, self.fencing
         return (
             self.heartbeat.online
