--- a/fallpulley/controller/job_sync.py
+++ b/fallpulley/controller/job_sync.py
@@ -53,7 +53,7 @@
 
     def add_open_jobs(self, shard: Shard) -> None:
         """Add the open jobs of a shard that was just acquired."""
-        for job_id in self.jobs.open_by_shard.get(shard.shard_id, ()):
+        for job_id in self.jobs.open_job_ids_by_shard.get(shard.shard_id, ()):
             self._add_job(shard, job_id, self.jobs.entries[job_id])
 
     def _add_job(self, shard: Shard, job_id: str, entry: JobEntry) -> None:
@@ -72,6 +72,6 @@
 
     def _stop_cancelled(self, agent: ShardAgent, job_id: str) -> None:
         open_job = agent.shard.jobs.get(job_id)
-        if open_job is not None and not open_job.cancelled:
+        if open_job is not None and not open_job.ended:
             self._cancelled_before_record.add(job_id)
             agent.end_job(open_job, True)
--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -132,7 +132,7 @@
         if shard.unreconciled:
             agent.fencing.tick(self.writer.addresses)
         self._request_record_rewrite(agent)
-        self.persistence.tick(shard, self.jobs.cancelled_with_dependencies.get(shard.shard_id, {}))
+        self.persistence.tick(shard, self.jobs.cancelled_dependents.get(shard.shard_id, {}))
         if self.session.is_live():
             self._scale(agent, leading)
 
@@ -177,7 +177,7 @@
         task_counts = {}
         for shard in self.owned.shards.values():
             for job in shard.jobs.values():
-                if not job.cancelled:
+                if not job.ended:
                     task_counts[job.job_id] = (job.progress.completed.count, len(job.runs))
         self.jobs.task_counts.update(task_counts)
         return self._task_counts.next_entries(task_counts)
--- a/fallpulley/duties/intents.py
+++ b/fallpulley/duties/intents.py
@@ -79,7 +79,7 @@
             {duty_key(duty): token, **conditions},
             Change(intent_key(duty, token, self._intent_count), value),
             on_result,
-            RequestPriority.ACCEPT,
+            RequestPriority.INTERACTIVE,
         )
 
     def delete(self, key: str) -> None:
@@ -95,5 +95,5 @@
                 self._deleting.discard(key)
 
         self._access.compare_and_set(
-            {key: mod_revision}, Change(key, None), on_result, RequestPriority.PROGRESS
+            {key: mod_revision}, Change(key, None), on_result, RequestPriority.BACKGROUND
         )
--- a/fallpulley/fleet/catalog.py
+++ b/fallpulley/fleet/catalog.py
@@ -65,7 +65,7 @@
                 {CATALOG_KEY: self.watch.mod_revision(CATALOG_KEY)},
                 [Change(CATALOG_KEY, msgspec.json.encode(catalog))],
                 ignore_result,
-                RequestPriority.PROGRESS,
+                RequestPriority.BACKGROUND,
             )
         )
 
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -25,7 +25,7 @@
     """
     groups: dict[DemandKey, DemandGroup] = {}
     for job in shard.jobs.values():
-        if job.cancelled or job.finished or job.waits_for_dependencies:
+        if job.ended or job.all_tasks_completed or job.waits_for_dependencies:
             continue  # machines rented for jobs that cannot start yet would be idle
         spec = job.spec
         cpus_per_task = _cached_cpus_per_task(job, machine_types)
@@ -56,7 +56,7 @@
         # A service runs until it is cancelled. Limited to `drain_s`, its estimate stands for about
         # the processors that its tasks occupy.
         estimate_s = min(estimate_s, drain_s)
-    work = job.waiting_count() * estimate_s * cpus_per_task
+    work = job.pending_task_count() * estimate_s * cpus_per_task
     for run in job.runs.values():
         ran_s = now - run.started_at if run.started_at is not None else 0.0
         work += remaining_run_time(estimate_s, ran_s) * cpus_per_task
--- a/fallpulley/fleet/releases.py
+++ b/fallpulley/fleet/releases.py
@@ -112,6 +112,6 @@
                 {key: self.watch.mod_revision(key), **conditions},
                 [Change(key, None)],
                 on_result,
-                RequestPriority.PROGRESS,
+                RequestPriority.BACKGROUND,
             )
         )
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -141,6 +141,4 @@
 
 def _is_startable(job: OpenJob, booking: Booking) -> bool:
     """Return whether the job still needs the booked task to start."""
-    return not (
-        job.cancelled or booking.task_index in job.runs or job.is_completed(booking.task_index)
-    )
+    return not (job.ended or booking.task_index in job.runs or job.is_completed(booking.task_index))
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -14,7 +14,7 @@
 from fallpulley.context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JOB_PREFIX, JobIndex
-from fallpulley.jobs.job_writes import write_acceptance
+from fallpulley.jobs.job_writes import write_interactive
 from fallpulley.jobs.messages import (
     JobRecord,
     JobState,
@@ -197,7 +197,7 @@
             else:
                 self.responder.send_unavailable(pending_response, "state service did not answer")
 
-        write_acceptance(self.context, conditions, changes, on_result)
+        write_interactive(self.context, conditions, changes, on_result)
 
     def _on_accepted(
         self, pending_response: PendingResponse, spec: Submission, shard_id: str
--- a/fallpulley/jobs/cancellation.py
+++ b/fallpulley/jobs/cancellation.py
@@ -9,8 +9,8 @@
 from fallpulley.context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JOB_PREFIX, JobEntry, JobIndex
-from fallpulley.jobs.job_writes import write_acceptance
-from fallpulley.jobs.messages import FINAL_STATES, JOB_ID, JobState, JobStatus
+from fallpulley.jobs.job_writes import write_interactive
+from fallpulley.jobs.messages import FINAL_STATES, JOB_ID_PATTERN, JobState, JobStatus
 from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
 from fallpulley.state.transactions import Change, WriteResult
 
@@ -38,7 +38,7 @@
 
     def cancel(self, pending_response: PendingResponse, job_id: str) -> None:
         """Write the cancellation of a job unless it has ended, and respond with its state."""
-        if not JOB_ID.fullmatch(job_id):
+        if not JOB_ID_PATTERN.fullmatch(job_id):
             self.responder.send_no_such_job(pending_response)
             return
         entry = self.index.entries.get(job_id)
@@ -84,4 +84,4 @@
                 self.responder.send_unavailable(pending_response, NOT_DECIDED)
 
         changes = [Change(key, msgspec.json.encode(entry.cancelled_record()))]
-        write_acceptance(self.context, {key: entry.mod_revision}, changes, on_result)
+        write_interactive(self.context, {key: entry.mod_revision}, changes, on_result)
--- a/fallpulley/jobs/completion.py
+++ b/fallpulley/jobs/completion.py
@@ -25,7 +25,7 @@
     tasks_per_chunk: int
 
 
-def chunk_tasks(value_kb: float) -> int:
+def chunk_capacity(value_kb: float) -> int:
     """Return how many tasks a chunk covers if values may be `value_kb` KiB long.
 
     Each base64 character holds the bits of 6 tasks. The result is a multiple of 8, so that a chunk
@@ -120,7 +120,7 @@
         # none is.
         self.unsaved_since: float | None = None
         self.write_pending = False  # whether a write or a read of a progress value is under way
-        self.revisions: dict[str, int] = {}  # chunk name -> revision of its progress value
+        self.mod_revisions: dict[str, int] = {}  # chunk name -> revision of its progress value
 
     def record_completion(self, index: int, now: float) -> bool:
         """Mark a task as completed; return False if it already is or the job has no such task."""
@@ -159,4 +159,4 @@
             return
         self.completed.merge_chunk(number, tasks_per_chunk, content, self.task_count)
         self.durable.merge_chunk(number, tasks_per_chunk, content, self.task_count)
-        self.revisions[name] = mod_revision
+        self.mod_revisions[name] = mod_revision
--- a/fallpulley/jobs/job_index.py
+++ b/fallpulley/jobs/job_index.py
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.entries: dict[str, JobEntry] = {}
-        self.open_by_shard: dict[str, set[str]] = {}
+        self.open_job_ids_by_shard: dict[str, set[str]] = {}
         # Job id -> numbers of completed and running tasks, as last reported. They may be out of
         # date, so they are used only in responses to users and in estimates of work.
         self.task_counts: dict[str, tuple[int, int]] = {}
@@ -56,7 +56,7 @@
             record.finished_at_ms,
         )
         self.entries[job_id] = entry
-        open_job_ids = self.open_by_shard.setdefault(record.shard_id, set())
+        open_job_ids = self.open_job_ids_by_shard.setdefault(record.shard_id, set())
         if is_open:
             open_job_ids.add(job_id)
         else:
@@ -67,7 +67,7 @@
     def mark_cancelled(self, job_id: str, entry: JobEntry) -> None:
         """Treat a job as cancelled, though its stored record does not say so yet."""
         entry.state, entry.record = _CANCELLED, None
-        self.open_by_shard.get(entry.shard_id, set()).discard(job_id)
+        self.open_job_ids_by_shard.get(entry.shard_id, set()).discard(job_id)
         self.task_counts.pop(job_id, None)
 
     def is_cancelled(self, job_id: str) -> bool:
--- a/fallpulley/jobs/job_parts.py
+++ b/fallpulley/jobs/job_parts.py
@@ -73,13 +73,13 @@
 class RunTimeObservations(msgspec.Struct):
     """The observed run times of a job's completed tasks."""
 
-    tasks: int = 0  # how many run times were observed
-    total_s: float = 0.0  # their sum in seconds
+    observed_tasks: int = 0  # how many run times were observed
+    observed_run_s: float = 0.0  # their sum in seconds
 
     def record(self, run_s: float) -> None:
         """Add the run time of a completed task, in seconds."""
-        self.tasks += 1
-        self.total_s += run_s
+        self.observed_tasks += 1
+        self.observed_run_s += run_s
 
 
 class RetryState(msgspec.Struct):
@@ -109,7 +109,7 @@
 
     remaining_s: float = float("inf")  # seconds; infinite until it is estimated
     # What `remaining_s` was computed from: it is computed again only when this changes.
-    remaining_inputs: tuple[object, ...] = ()
+    estimate_inputs: tuple[object, ...] = ()
     deadline_at_risk: bool = False
 
     def update_deadline_risk(self, node: DependencyNode, wall_time: float) -> None:
--- a/fallpulley/jobs/job_writes.py
+++ b/fallpulley/jobs/job_writes.py
@@ -9,13 +9,13 @@
 
 # How long a write that a user waits for may stay queued before it is dropped. The user is told to
 # ask again, and would do so by then in any case.
-MAX_ACCEPT_WAIT_SECONDS = 2.0
+MAX_INTERACTIVE_WAIT_SECONDS = 2.0
 # How long a write that nobody waits for may stay queued before it is dropped. The owner of the
 # shard then decides again what to write.
-MAX_PROGRESS_WAIT_SECONDS = 5.0
+MAX_BACKGROUND_WAIT_SECONDS = 5.0
 
 
-def write_acceptance(
+def write_interactive(
     context: ControllerContext,
     conditions: dict[str, int],
     changes: list[Change],
@@ -29,13 +29,13 @@
         changes: The changes to make, all of them or none.
         on_result: Called with the outcome of the write.
     """
-    expires_at = context.now + MAX_ACCEPT_WAIT_SECONDS
+    expires_at = context.now + MAX_INTERACTIVE_WAIT_SECONDS
     context.state_client.write(
-        Write(conditions, changes, on_result, RequestPriority.ACCEPT, expires_at=expires_at)
+        Write(conditions, changes, on_result, RequestPriority.INTERACTIVE, expires_at=expires_at)
     )
 
 
-def write_progress(
+def write_in_background(
     context: ControllerContext,
     key: str,
     mod_revision: int,
@@ -53,13 +53,13 @@
         value: The encoded value.
         on_result: Called with the outcome of the write.
     """
-    expires_at = context.now + MAX_PROGRESS_WAIT_SECONDS
+    expires_at = context.now + MAX_BACKGROUND_WAIT_SECONDS
     context.state_client.write(
         Write(
             {key: mod_revision},
             [Change(key, value)],
             on_result,
-            RequestPriority.PROGRESS,
+            RequestPriority.BACKGROUND,
             expires_at=expires_at,
         )
     )
--- a/fallpulley/jobs/messages.py
+++ b/fallpulley/jobs/messages.py
@@ -49,7 +49,7 @@
     PRODUCTION = "production"
 
 
-JOB_ID = re.compile(r"job-[0-9]{1,40}")
+JOB_ID_PATTERN = re.compile(r"job-[0-9]{1,40}")
 JobId = Annotated[str, Meta(pattern=r"^job-[0-9]{1,40}\Z")]
 
 FINAL_STATES: Final = (JobState.DONE, JobState.CANCELLED)
@@ -169,7 +169,7 @@
         spec = msgspec.json.decode(body, type=Submission)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise SubmissionError(str(error) or "malformed") from error
-    if not JOB_ID.fullmatch(spec.job_id):
+    if not JOB_ID_PATTERN.fullmatch(spec.job_id):
         raise SubmissionError("Not a job id - at `$.uid`")
     if spec.machine_types is not None and not spec.machine_types:
         raise SubmissionError("No machine type allowed - at `$.builds`")
@@ -193,7 +193,7 @@
         job_id = msgspec.json.decode(body, type=_NamedJob).job_id
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    return job_id if JOB_ID.fullmatch(job_id) else None
+    return job_id if JOB_ID_PATTERN.fullmatch(job_id) else None
 
 
 def task_id(job_id: str, index: int) -> str:
@@ -211,6 +211,6 @@
 def parse_task_id(text: str) -> TaskId | None:
     """Split a task's id into job id and index; return None if the text is not a task's id."""
     job_id, slash, index = text.rpartition("/")
-    if not slash or not index.isdigit() or not JOB_ID.fullmatch(job_id):
+    if not slash or not index.isdigit() or not JOB_ID_PATTERN.fullmatch(job_id):
         return None
     return TaskId(job_id, int(index))
--- a/fallpulley/jobs/open_job.py
+++ b/fallpulley/jobs/open_job.py
@@ -47,14 +47,14 @@
         self.dependency_node = dependency_node
         self.resources = Resources(spec.cpus, spec.gpus, spec.memory_gb)
         self.runs: dict[int, TaskRun] = {}  # task index -> the task's attempt on a machine
-        self.cancelled = False  # whether the job has ended, so that no task may start or go on
+        self.ended = False  # whether the job has ended, so that no task may start or go on
         self.final_write_pending = False  # whether the record of the done job is being written
         self.task_queue = TaskQueue(spec.task_count)
         self.progress = JobProgress(spec.task_count)
         self.gang = GangState()
         self.run_times = RunTimeObservations()
         self.retry = RetryState()
-        self.urgency = RemainingTime()
+        self.remaining_time = RemainingTime()
         self.processors = ProcessorEstimate(spec.cpus)
 
     # -- dependencies ----------------------------------------------------------------------
@@ -101,12 +101,12 @@
         `wall_time` is in seconds since the epoch.
         """
         if self.dependency_node is not None:
-            self.urgency.update_deadline_risk(self.dependency_node, wall_time)
+            self.remaining_time.update_deadline_risk(self.dependency_node, wall_time)
 
     # -- tasks -----------------------------------------------------------------------------
 
     @property
-    def finished(self) -> bool:
+    def all_tasks_completed(self) -> bool:
         """Whether every task is completed; the record may not say so yet."""
         return self.progress.completed.count >= self.spec.task_count
 
@@ -118,11 +118,11 @@
         """Return whether the task's completion is stored in the state service."""
         return self.progress.durable.contains(index)
 
-    def waiting_count(self) -> int:
+    def pending_task_count(self) -> int:
         """Return how many tasks are neither completed nor on a machine."""
         return max(0, self.spec.task_count - self.progress.completed.count - len(self.runs))
 
-    def next_tasks(self, limit: int) -> list[int]:
+    def next_pending_tasks(self, limit: int) -> list[int]:
         """Return the next tasks to start, at most `limit`: neither completed nor on a machine."""
         return self.task_queue.first_waiting(limit, self.runs, self.progress.completed.contains)
 
--- a/fallpulley/jobs/queries.py
+++ b/fallpulley/jobs/queries.py
@@ -4,7 +4,7 @@
 
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JobIndex
-from fallpulley.jobs.messages import FINAL_STATES, JOB_ID
+from fallpulley.jobs.messages import FINAL_STATES, JOB_ID_PATTERN
 from fallpulley.jobs.responses import JobResponder
 
 
@@ -21,7 +21,7 @@
         A final state is taken from memory. Any other state is sent only after a read of the records
         that starts now, so that it is current.
         """
-        if not JOB_ID.fullmatch(job_id):
+        if not JOB_ID_PATTERN.fullmatch(job_id):
             self.responder.send_no_such_job(pending_response)
             return
         entry = self.index.entries.get(job_id)
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -88,9 +88,9 @@
         return self._index.entries
 
     @property
-    def open_by_shard(self) -> dict[str, set[str]]:
+    def open_job_ids_by_shard(self) -> dict[str, set[str]]:
         """The ids of open jobs by shard id."""
-        return self._index.open_by_shard
+        return self._index.open_job_ids_by_shard
 
     @property
     def task_counts(self) -> dict[str, tuple[int, int]]:
@@ -126,7 +126,7 @@
         return self._dependencies.pipelines
 
     @property
-    def cancelled_with_dependencies(self) -> dict[str, dict[str, JobEntry]]:
+    def cancelled_dependents(self) -> dict[str, dict[str, JobEntry]]:
         """The jobs that are cancelled because a dependency is: shard id -> job id -> entry.
 
         Their own stored records do not say so yet.
--- a/fallpulley/jobs/work_estimate.py
+++ b/fallpulley/jobs/work_estimate.py
@@ -20,7 +20,7 @@
     whose dependencies are not all done do not count.
     """
     work = dict.fromkeys(PRIORITY_LEVELS, 0.0)
-    for job_id in index.open_by_shard.get(shard_id, ()):
+    for job_id in index.open_job_ids_by_shard.get(shard_id, ()):
         spec = index.entries[job_id].spec
         node = pipelines.node(job_id)
         if node is not None and node.unfinished_dependencies:
--- a/fallpulley/membership/format_agreement.py
+++ b/fallpulley/membership/format_agreement.py
@@ -49,7 +49,7 @@
         log.info("record format agreed format=%d", agreed)
         conditions = {FORMAT_KEY: self._watch.mod_revision(FORMAT_KEY)}
         change = Change(FORMAT_KEY, msgspec.json.encode(FormatMarker(agreed)))
-        self._writes.send(conditions, change, RequestPriority.ACCEPT)
+        self._writes.send(conditions, change, RequestPriority.INTERACTIVE)
 
     def _agreed_format(self) -> int:
         """Return the newest format that every controller has been seen to know.
--- a/fallpulley/persistence/job_persistence.py
+++ b/fallpulley/persistence/job_persistence.py
@@ -10,12 +10,12 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
-from fallpulley.jobs.completion import chunk_name, chunk_tasks
+from fallpulley.jobs.completion import chunk_capacity, chunk_name
 from fallpulley.jobs.job_index import JOB_PREFIX, JobEntry
 from fallpulley.jobs.job_writes import (
-    MAX_PROGRESS_WAIT_SECONDS,
-    write_acceptance,
-    write_progress,
+    MAX_BACKGROUND_WAIT_SECONDS,
+    write_in_background,
+    write_interactive,
 )
 from fallpulley.jobs.messages import JobRecord, JobState, Progress
 from fallpulley.jobs.open_job import OpenJob
@@ -42,18 +42,18 @@
 
     def __init__(self, context: ControllerContext) -> None:
         self.context = context
-        self.first_format_tasks_per_chunk = chunk_tasks(context.settings.facts.state.value_kb)
-        self.tasks_per_chunk = chunk_tasks(context.record_format.strictest_limits.value_kb)
+        self.first_format_tasks_per_chunk = chunk_capacity(context.settings.facts.state.value_kb)
+        self.tasks_per_chunk = chunk_capacity(context.record_format.strictest_limits.value_kb)
         self._loader = ProgressLoader(context, self.first_format_tasks_per_chunk)
         self._cancellations_pending: set[str] = set()  # jobs whose cancellation is being written
 
-    def tick(self, shard: Shard, cancelled_with_dependencies: dict[str, JobEntry]) -> None:
+    def tick(self, shard: Shard, cancelled_dependents: dict[str, JobEntry]) -> None:
         """Queue the writes that are due for an owned shard, or load its progress first.
 
-        `cancelled_with_dependencies`: jobs of the shard that are cancelled because a job that
-        they depend on is cancelled, and whose own records do not say so yet.
+        `cancelled_dependents`: jobs of the shard that are cancelled because a job that they
+        depend on is cancelled, and whose own records do not say so yet.
         """
-        for job_id, entry in cancelled_with_dependencies.items():
+        for job_id, entry in cancelled_dependents.items():
             if not self._may_queue_progress():
                 break
             self._write_dependent_cancellation(job_id, entry)
@@ -63,9 +63,9 @@
         now = self.context.now
         delay_s = PROGRESS_DELAY_HEARTBEAT_INTERVALS * self.context.timing.heartbeat_interval_s
         for job in shard.jobs.values():
-            if job.cancelled:
+            if job.ended:
                 continue
-            if job.finished:
+            if job.all_tasks_completed:
                 if not job.final_write_pending and now >= job.retry.not_before:
                     self._write_completion(shard, job)
             elif (
@@ -77,7 +77,7 @@
                 self._write_progress(job)
 
     def _may_queue_progress(self) -> bool:
-        queued = self.context.state_client.queued_changes(RequestPriority.PROGRESS)
+        queued = self.context.state_client.queued_changes(RequestPriority.BACKGROUND)
         return queued < MAX_QUEUED_CHANGES
 
     # -- completions and cancellations -----------------------------------------------------
@@ -92,7 +92,7 @@
             self._cancellations_pending.discard(job_id)
 
         value = msgspec.json.encode(entry.cancelled_record())
-        write_progress(self.context, key, entry.mod_revision, value, on_result)
+        write_in_background(self.context, key, entry.mod_revision, value, on_result)
 
     def _write_completion(self, shard: Shard, job: OpenJob) -> None:
         """Write the final record of a job whose tasks are all completed.
@@ -105,7 +105,7 @@
         conditions = {key: job.mod_revision}
         # Delete as many progress values as the transaction can hold; those that remain do no harm.
         max_values = self.context.record_format.txn_ops - 1
-        for name, mod_revision in list(job.progress.revisions.items())[:max_values]:
+        for name, mod_revision in list(job.progress.mod_revisions.items())[:max_values]:
             chunk_key = progress_key(job.job_id, name)
             conditions[chunk_key] = mod_revision
             changes.append(Change(chunk_key, None))
@@ -119,7 +119,7 @@
             )
             self._on_completion_result(job, result)
 
-        write_acceptance(self.context, conditions, changes, on_result)
+        write_interactive(self.context, conditions, changes, on_result)
 
     def _completed_record(self, record: JobRecord) -> bytes:
         return msgspec.json.encode(
@@ -133,10 +133,10 @@
         )
 
     def _on_completion_result(self, job: OpenJob, result: WriteResult) -> None:
-        if result.conflicted and job.progress.revisions:
+        if result.conflicted and job.progress.mod_revisions:
             # A late progress write may have changed a value. Leave the progress values in place, so
             # that the next attempt is conditioned on the job's record alone.
-            job.progress.revisions.clear()
+            job.progress.mod_revisions.clear()
         if not result.committed:
             # If the write was applied after all, the watch delivers the new record.
             job.retry.not_before = self.context.now + COMPLETION_RETRY_SECONDS
@@ -163,7 +163,7 @@
         def on_result(result: WriteResult) -> None:
             progress.write_pending = False
             if result.committed:
-                progress.revisions[name] = result.revision
+                progress.mod_revisions[name] = result.revision
                 progress.durable.replace_chunk(number, tasks_per_chunk, content)
                 return
             if progress.unsaved_since is None:
@@ -171,7 +171,9 @@
             if result.conflicted or result.unknown:
                 self._reload_chunk(job, name)
 
-        write_progress(self.context, key, progress.revisions.get(name, 0), value, on_result)
+        write_in_background(
+            self.context, key, progress.mod_revisions.get(name, 0), value, on_result
+        )
 
     def _reload_chunk(self, job: OpenJob, name: str) -> None:
         """Read and merge a stored chunk that another write, perhaps a late own one, has changed."""
@@ -181,7 +183,7 @@
         def on_response(response: Response) -> None:
             progress.write_pending = False
             if response.status == HTTPStatus.NOT_FOUND:
-                progress.revisions.pop(name, None)
+                progress.mod_revisions.pop(name, None)
             elif response.ok:
                 try:
                     item = msgspec.json.decode(response.body, type=ProgressItem)
@@ -194,6 +196,6 @@
         self.context.state_client.request(
             f"/store/{progress_key(job.job_id, name)}",
             on_response,
-            RequestPriority.PROGRESS,
-            expires_at=self.context.now + MAX_PROGRESS_WAIT_SECONDS,
+            RequestPriority.BACKGROUND,
+            expires_at=self.context.now + MAX_BACKGROUND_WAIT_SECONDS,
         )
--- a/fallpulley/persistence/progress_loading.py
+++ b/fallpulley/persistence/progress_loading.py
@@ -9,7 +9,7 @@
 from fallpulley.context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.jobs.completion import is_chunk_name
-from fallpulley.jobs.messages import JOB_ID
+from fallpulley.jobs.messages import JOB_ID_PATTERN
 from fallpulley.jobs.stored_progress import (
     PROGRESS_PREFIX,
     ProgressItem,
@@ -63,13 +63,13 @@
                 self._on_loaded(shard)
 
         self.context.state_client.request(
-            path, on_response, RequestPriority.PROGRESS, timeout_s=PAGE_TIMEOUT_SECONDS
+            path, on_response, RequestPriority.BACKGROUND, timeout_s=PAGE_TIMEOUT_SECONDS
         )
 
     def _merge(self, shard: Shard, item: ProgressItem) -> None:
         job_id, chunk_name = parse_progress_key(item.key)
         job = shard.jobs.get(job_id)
-        if job is not None and JOB_ID.fullmatch(job_id) and is_chunk_name(chunk_name):
+        if job is not None and JOB_ID_PATTERN.fullmatch(job_id) and is_chunk_name(chunk_name):
             job.progress.merge_stored_chunk(
                 chunk_name, self.first_format_tasks_per_chunk, item.value.bits, item.mod_revision
             )
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -231,5 +231,7 @@
             )
 
         self.context.state_client.write(
-            Write(transaction.conditions, transaction.changes, on_result, RequestPriority.ACCEPT)
+            Write(
+                transaction.conditions, transaction.changes, on_result, RequestPriority.INTERACTIVE
+            )
         )
--- a/fallpulley/scheduling/pending_jobs.py
+++ b/fallpulley/scheduling/pending_jobs.py
@@ -38,7 +38,7 @@
     for job in shard.jobs.values():
         if not _may_be_placed(job, shard, context.now) or limits.must_wait(job):
             continue
-        task_count = job.waiting_count()
+        task_count = job.pending_task_count()
         if not task_count or job.gang.restarting:
             continue
         entry = _pending_job(shard, context, job, task_count, shapes)
@@ -53,8 +53,8 @@
 def _may_be_placed(job: OpenJob, shard: Shard, now: float) -> bool:
     """Return whether the job is open and ready, and all its running tasks are known here."""
     return not (
-        job.cancelled
-        or job.finished
+        job.ended
+        or job.all_tasks_completed
         or now < job.retry.not_before
         or shard.is_unreconciled(job)
         or job.waits_for_dependencies
@@ -95,8 +95,9 @@
         task_count=task_count,
         image=spec.image,
         image_gb=spec.image_gb,
-        remaining_s=job.urgency.remaining_s + job.critical_path_s,
-        overdue=job.urgency.deadline_at_risk or waited_past_age_bound(job, context, estimate_s),
+        remaining_s=job.remaining_time.remaining_s + job.critical_path_s,
+        overdue=job.remaining_time.deadline_at_risk
+        or waited_past_age_bound(job, context, estimate_s),
         submitted_at=job.ready_since_ms / 1000,
         allow_spot=spec.allow_spot,
         priority_level=job.priority_level,
@@ -113,9 +114,11 @@
     """Estimate the job's remaining time (T 3-1) again if any input of the estimate changed."""
     unfinished = job.spec.task_count - job.progress.completed.count
     inputs = (unfinished, shapes, round(estimate_s, 1))
-    if inputs != job.urgency.remaining_inputs:
-        job.urgency.remaining_inputs = inputs
-        job.urgency.remaining_s = remaining_time(job.resources, estimate_s, unfinished, shapes)
+    if inputs != job.remaining_time.estimate_inputs:
+        job.remaining_time.estimate_inputs = inputs
+        job.remaining_time.remaining_s = remaining_time(
+            job.resources, estimate_s, unfinished, shapes
+        )
 
 
 def _zone(job: OpenJob, shard: Shard) -> str | None:
--- a/fallpulley/scheduling/shard_plan.py
+++ b/fallpulley/scheduling/shard_plan.py
@@ -43,7 +43,7 @@
         by_job.setdefault(booking.job_id, []).append(booking)
         by_machine.setdefault(booking.machine_id, []).append(booking)
     for job_id, bookings in by_job.items():
-        task_indexes = shard.jobs[job_id].next_tasks(len(bookings))
+        task_indexes = shard.jobs[job_id].next_pending_tasks(len(bookings))
         for booking, task_index in zip(bookings, task_indexes, strict=True):
             booking.task_index = task_index
     return by_machine
--- a/fallpulley/shards/adoption.py
+++ b/fallpulley/shards/adoption.py
@@ -51,7 +51,7 @@
     has an attempt of it.
     """
     return not (
-        job.cancelled
+        job.ended
         or task.task_index >= job.spec.task_count
         or job.is_completed(task.task_index)
         or task.task_index in job.runs
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -134,6 +134,6 @@
         """
         task = parse_task_id(status.task_id)
         job = self.shard.jobs.get(task.job_id) if task else None
-        if task is None or job is None or job.cancelled or status.exit_reason is not _DONE:
+        if task is None or job is None or job.ended or status.exit_reason is not _DONE:
             return True
         return task.task_index < job.spec.task_count and job.is_durable(task.task_index)
--- a/fallpulley/shards/job_stops.py
+++ b/fallpulley/shards/job_stops.py
@@ -13,7 +13,7 @@
 
 def end_job(shard: Shard, commands: MachineCommands, job: OpenJob, cancelled: bool) -> None:
     """Stop all tasks of a job whose record is final, and start no more of them."""
-    job.cancelled = True
+    job.ended = True
     shard.needs_replan = True
     for run in list(job.runs.values()):
         commands.stop(run, 0.0)
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -160,7 +160,7 @@
         if job.spec.kind is _SERVICE:
             return SERVICE_LEASES * self.context.timing.lease_s
         corrected_s = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
-        return run_estimate(corrected_s, job.run_times.tasks, job.run_times.total_s)
+        return run_estimate(corrected_s, job.run_times.observed_tasks, job.run_times.observed_run_s)
 
     # -- machines --------------------------------------------------------------------------
 
@@ -247,5 +247,5 @@
         self.decisions.task_gone(run, "gone")
         job.requeue(run.task_index)
         self.needs_replan = True
-        if job.cancelled and not job.runs:
+        if job.ended and not job.runs:
             self.jobs.pop(job.job_id, None)
--- a/fallpulley/shards/task_changes.py
+++ b/fallpulley/shards/task_changes.py
@@ -77,7 +77,7 @@
                 record_run_time(self.shard, machine, job, run)
         elif run is not None:
             self._on_failed(machine, job, run, status.exit_reason)
-        if job.cancelled and not job.runs:
+        if job.ended and not job.runs:
             self.shard.jobs.pop(job.job_id, None)
 
     def _on_failed(
--- a/fallpulley/shares/policy_runner.py
+++ b/fallpulley/shares/policy_runner.py
@@ -46,7 +46,7 @@
         weights = {controller_id: share.weight for controller_id, share in new_shares.items()}
         log.info("share policy applied weights=%s", weights)
         value = msgspec.json.encode(new_table)
-        self._record.write(value, ignore_result, RequestPriority.PROGRESS)
+        self._record.write(value, ignore_result, RequestPriority.BACKGROUND)
 
     def _policy_input(self) -> PolicyInput:
         registry = self._access.registry
--- a/fallpulley/shares/requests.py
+++ b/fallpulley/shares/requests.py
@@ -99,7 +99,7 @@
                     lambda current: self._respond_with_outcome(request, set_shares, current)
                 )
 
-        self._record.write(value, on_result, RequestPriority.ACCEPT)
+        self._record.write(value, on_result, RequestPriority.INTERACTIVE)
 
     def _respond_with_outcome(
         self, request: OperatorRequest, set_shares: SetShares, current: bool
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -82,7 +82,9 @@
         )
 
     def _targets(self) -> Targets:
-        busy_shards = {shard_id for shard_id, jobs in self._jobs.open_by_shard.items() if jobs}
+        busy_shards = {
+            shard_id for shard_id, jobs in self._jobs.open_job_ids_by_shard.items() if jobs
+        }
         return self._reconciler.targets(self._record.table, busy_shards)
 
     # -- time ------------------------------------------------------------------------------
--- a/fallpulley/standby/failover.py
+++ b/fallpulley/standby/failover.py
@@ -63,7 +63,10 @@
     for job_id, copy in state.jobs.items():
         job = shard.jobs.get(job_id)
         if job is not None and copy.observed_tasks >= 0 and copy.observed_run_s >= 0.0:
-            job.run_times.tasks, job.run_times.total_s = copy.observed_tasks, copy.observed_run_s
+            job.run_times.observed_tasks, job.run_times.observed_run_s = (
+                copy.observed_tasks,
+                copy.observed_run_s,
+            )
 
 
 def _by_probe_priority(shard: Shard, copies: dict[str, MachineCopy]) -> dict[str, Machine]:
--- a/fallpulley/standby/snapshot.py
+++ b/fallpulley/standby/snapshot.py
@@ -21,9 +21,14 @@
         (machine_id, _copy_machine(machine)) for machine_id, machine in shard.machines.items()
     ]
     jobs = [
-        (job_id, JobCopy(job.run_times.tasks, round(job.run_times.total_s, RUN_TIME_DIGITS)))
+        (
+            job_id,
+            JobCopy(
+                job.run_times.observed_tasks, round(job.run_times.observed_run_s, RUN_TIME_DIGITS)
+            ),
+        )
         for job_id, job in shard.jobs.items()
-        if job.run_times.tasks
+        if job.run_times.observed_tasks
     ]
     parts = [Snapshot({}, {}, dict(shard.corrections.factors()))]
     for begin in range(0, len(machines), MAX_PART_ITEMS):
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -35,7 +35,7 @@
 # Share of a bucket's capacity that requests of a priority leave to more urgent ones, so that a
 # lease renewal or an accepted job never waits until the tokens that a burst of less urgent
 # requests has spent are refilled.
-RESERVED_SHARE = {RequestPriority.PROGRESS: 0.4, RequestPriority.READ: 0.2}
+RESERVED_SHARE = {RequestPriority.BACKGROUND: 0.4, RequestPriority.READ: 0.2}
 # Share of the change bucket's capacity that a write needs at most, however many changes it has:
 # otherwise a write with more changes than the capacity would never be sent.
 MAX_REQUIRED_SHARE = 0.5
--- a/fallpulley/state/transactions.py
+++ b/fallpulley/state/transactions.py
@@ -22,8 +22,8 @@
     """Order in which requests are sent when the budgets do not allow all; lower values first."""
 
     RENEWAL = 0
-    ACCEPT = 1
-    PROGRESS = 2
+    INTERACTIVE = 1
+    BACKGROUND = 2
     READ = 3
 
 
@@ -95,7 +95,7 @@
     conditions: dict[str, int]
     changes: list[Change]
     on_result: WriteCallback  # called once
-    priority: RequestPriority = RequestPriority.ACCEPT
+    priority: RequestPriority = RequestPriority.INTERACTIVE
     isolated: bool = False  # sent in a transaction of its own
     expires_at: float = float("inf")  # monotonic clock, in seconds; not sent by then, it is refused
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -13,7 +13,7 @@
 from fallpulley.cloud.offer import Offer
 from fallpulley.effects import HttpCall, Response
 from fallpulley.fleet.sizing import DemandGroup, SupplyUnit, size_fleet
-from fallpulley.jobs.completion import chunk_tasks
+from fallpulley.jobs.completion import chunk_capacity
 from fallpulley.jobs.messages import JobRecord, parse_submission
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.settings import SettingsError, load
@@ -147,13 +147,15 @@
             {f"k{n}": 0},
             [Change(f"k{n}", b"1")],
             lambda s, _: outcomes.append(s),
-            RequestPriority.PROGRESS,
+            RequestPriority.BACKGROUND,
         )
         state.write(write)
     state.send_queued(0.0)
     at, changes = 0.0, sum(call.body.count(b'"set"') for call in sent if call.body)
     assert changes <= 5
-    state.write(Write({"a": 0}, [Change("a", b"1")], lambda s, _: None, RequestPriority.ACCEPT))
+    state.write(
+        Write({"a": 0}, [Change("a", b"1")], lambda s, _: None, RequestPriority.INTERACTIVE)
+    )
     sent.clear()
     while at < 2.0:
         at += 0.1
@@ -205,7 +207,7 @@
 
 
 def test_a_job_of_100000_tasks_keeps_its_completion_in_small_values() -> None:
-    tasks = chunk_tasks(16.0)
+    tasks = chunk_capacity(16.0)
     big = open_job(100_000)
     for index in range(0, 100_000, 3):
         big.progress.record_completion(index, 0.0)
@@ -288,12 +290,12 @@
     run = TaskRun(again.job_id, 0, 1, "vm-1", 0.0, 1.0, again.resources)
     for _ in range(3):
         again.runs[0] = again.runs[1] = run
-        assert again.next_tasks(10) == [2, 3]
+        assert again.next_pending_tasks(10) == [2, 3]
         del again.runs[0], again.runs[1]
         again.requeue(0)
         again.requeue(1)
-        assert sorted(again.next_tasks(10)) == [0, 1, 2, 3]
+        assert sorted(again.next_pending_tasks(10)) == [0, 1, 2, 3]
     again.runs[3] = run
     del again.runs[3]
     again.requeue(3)
-    assert sorted(again.next_tasks(10)) == [0, 1, 2, 3]
+    assert sorted(again.next_pending_tasks(10)) == [0, 1, 2, 3]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -87,7 +87,7 @@
     before = len(world.starts_seen)
     assert (
         uid
-        in world.controllers[old].parts.jobs.open_by_shard[
+        in world.controllers[old].parts.jobs.open_job_ids_by_shard[
             next(iter(world.controllers[old].parts.owned.shards))
         ]
     )
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,8 +14,8 @@
 import pytest
 
 from fallpulley.jobs.completion import (
+    chunk_capacity,
     chunk_name,
-    chunk_tasks,
     is_chunk_name,
     parse_chunk_name,
 )
@@ -230,7 +230,7 @@
 
 
 def test_progress_values_tell_the_size_that_they_were_split_with() -> None:
-    older, newer = chunk_tasks(16.0), chunk_tasks(2.0)
+    older, newer = chunk_capacity(16.0), chunk_capacity(2.0)
     assert older != newer
     done = open_job(100_000)
     for index in range(0, 100_000, 7):
@@ -258,5 +258,5 @@
     world.until(lambda: len(world.running(uid)) == 4, 20.0)
     held = next(iter(world.controllers[world.holder()].parts.owned.shards.values()))
     for number in range(9):
-        held.jobs[uid].progress.revisions[f"{number}@64"] = 0
+        held.jobs[uid].progress.mod_revisions[f"{number}@64"] = 0
     world.until(lambda: world.stage(uid) == "done", 30.0)
