--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -48,7 +48,7 @@
         self.jobs = jobs
         self.peers = peers
 
-    def hand_off_if_unreached(self, shard: Shard) -> None:
+    def hand_off_if_unreachable(self, shard: Shard) -> None:
         """Hand a shard off to a peer if no machine's heartbeats have arrived recently.
 
         As this controller still reaches the state service and the peer, the fault may lie between
@@ -111,7 +111,7 @@
         # those were scattered over shards, each shard would have room that jobs of the other
         # shards cannot use.
         idle.sort(
-            key=lambda machine: (machine.entry.spot, machine.scale_in.idle_since or 0.0),
+            key=lambda machine: (machine.entry.spot, machine.departure.idle_since or 0.0),
             reverse=True,
         )
         for machine in idle[:count]:
@@ -122,7 +122,7 @@
                 shard.shard_id,
                 receiver,
             )
-            machine.scale_in.leaving_shard = True
+            machine.departure.leaving_shard = True
             shard.occupancy_due[machine_id] = None
             shard.bookings.pop(machine_id, None)
             shard.needs_replan = True
--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -124,7 +124,7 @@
         shard = agent.shard
         agent.lease_expiry.expire(self.watch.fresh_at)
         agent.stop_broken_gangs()
-        self.balancer.hand_off_if_unreached(shard)
+        self.balancer.hand_off_if_unreachable(shard)
         if occupancy_due:
             self.occupancy.update_all(shard)
         elif shard.occupancy_due:
@@ -150,7 +150,7 @@
 
     def _scale(self, agent: ShardAgent, leading: bool) -> None:
         if agent.shard.unreconciled and leading:
-            self.autoscaler.confirm_unreachable_gone(agent.shard)
+            self.autoscaler.release_unreachable(agent.shard)
         machine_requests = self.autoscaler.tick(agent.shard, leading)
         if machine_requests:
             self._machine_requests[agent.shard.shard_id] = machine_requests
--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -140,10 +140,10 @@
         shard = self._access.owned.shards.get(shard_id)
         if shard is None:
             return False
-        scale_in = shard.machines[machine_id].scale_in
-        if not scale_in.release_decided and machine_id not in shard.unreconciled:
+        departure = shard.machines[machine_id].departure
+        if not departure.release_decided and machine_id not in shard.unreconciled:
             return False
-        scale_in.release_decided = True
+        departure.release_decided = True
         conditions[SHARD_PREFIX + shard_id] = shard.fencing_token
         return True
 
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -46,7 +46,7 @@
     def on_shard_updated(self, shard: Shard) -> None:
         """Mark the machines of an owned shard that are about to be released."""
         for machine_id in self.duty_registry.release_intents.keys() & shard.machines.keys():
-            shard.machines[machine_id].scale_in.release_decided = True
+            shard.machines[machine_id].departure.release_decided = True
 
     def on_leadership_checked(self) -> None:
         """Claim missing duties and resume recorded rentals if this controller leads."""
@@ -65,6 +65,6 @@
         machine = shard.machines.get(machine_id) if shard is not None else None
         if shard is None or machine is None:
             return
-        machine.scale_in.release_decided = machine_id in self.duty_registry.release_intents
+        machine.departure.release_decided = machine_id in self.duty_registry.release_intents
         shard.bookings.pop(machine_id, None)
         shard.needs_replan = True
--- a/fallpulley/extensions.py
+++ b/fallpulley/extensions.py
@@ -82,9 +82,9 @@
         """Return the shard for a team's new jobs; None for the shard with the least work."""
         return None
 
-    def shard_for_rental(self, asked_for: str) -> str:
-        """Return the shard for machines rented for the shard `asked_for`: that one or another."""
-        return asked_for
+    def shard_for_rental(self, requesting_shard: str) -> str:
+        """Return the shard for machines rented for `requesting_shard`: that one or another."""
+        return requesting_shard
 
 
 class Extensions:
@@ -141,11 +141,11 @@
                 return shard_id
         return None
 
-    def shard_for_rental(self, asked_for: str) -> str:
-        """Return the shard for machines rented for the shard `asked_for`."""
+    def shard_for_rental(self, requesting_shard: str) -> str:
+        """Return the shard for machines rented for `requesting_shard`."""
         for each in self._extensions:
-            asked_for = each.shard_for_rental(asked_for)
-        return asked_for
+            requesting_shard = each.shard_for_rental(requesting_shard)
+        return requesting_shard
 
     def action_guard(self) -> ActionGuard:
         """Return the guard that has to permit actions on machines."""
--- a/fallpulley/fleet/abandonment.py
+++ b/fallpulley/fleet/abandonment.py
@@ -73,11 +73,11 @@
         """
         listed_machines = self.provider.listed_machines
         for machine in shard.machines.values():
-            if machine.scale_in.leaving_shard:
+            if machine.departure.leaving_shard:
                 continue
             listed = listed_machines.get(machine.machine_id)
             if listed is not None and listed.state == FAILED_STATE:
-                machine.scale_in.failed_in_cloud = True
+                machine.departure.failed_in_cloud = True
             if machine.runs or machine.machine_id in shard.unreconciled:
                 continue
             reason = self._reason_to_abandon(machine)
@@ -95,7 +95,7 @@
             reason.value,
             shard.shard_id,
         )
-        machine.scale_in.leaving_shard = True
+        machine.departure.leaving_shard = True
         shard.occupancy_due[machine.machine_id] = None
         shard.needs_replan = True
         self.writer.remove(shard.shard_id, machine.machine_id)
@@ -121,7 +121,7 @@
         """Return why an offline machine should be abandoned, or None to keep it."""
         if machine.machine_id in self.provider.released_at:
             return AbandonReason.RELEASED
-        if machine.scale_in.failed_in_cloud:
+        if machine.departure.failed_in_cloud:
             return AbandonReason.FAILED
         offline_since = max(machine.heartbeat.received_at, machine.granted_at)
         if machine.heartbeat.ever_online:
@@ -145,7 +145,7 @@
 
     # -- unreachable machines after a failover ---------------------------------------------
 
-    def confirm_unreachable_gone(self, shard: Shard) -> None:
+    def release_unreachable(self, shard: Shard) -> None:
         """Request the release of machines that do not respond after a failover.
 
         While such a machine may hold unknown tasks, no job that was accepted before the failover
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -72,9 +72,9 @@
         self._interval_s[shard.shard_id] = self._next_interval_s(self.context.clock() - began)
         return machine_requests
 
-    def confirm_unreachable_gone(self, shard: Shard) -> None:
+    def release_unreachable(self, shard: Shard) -> None:
         """As the leader, request the release of machines that are unreachable after a failover."""
-        self.abandoner.confirm_unreachable_gone(shard)
+        self.abandoner.release_unreachable(shard)
 
     def _wait_s(self, last_at: float, interval_s: float) -> float:
         """Return the seconds to wait from the last sizing to the next.
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -6,7 +6,7 @@
 from fallpulley.fleet.sizing import DemandGroup, DemandKey
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.placement.estimate import remaining_run_time
+from fallpulley.placement.estimate import estimate_remaining_run_time
 from fallpulley.placement.queue import URGENT_PRIORITY_LEVEL
 from fallpulley.shards.shard import Shard
 
@@ -58,8 +58,8 @@
         estimate_s = min(estimate_s, drain_s)
     work = job.pending_task_count() * estimate_s * cpus_per_task
     for run in job.runs.values():
-        ran_s = now - run.started_at if run.started_at is not None else 0.0
-        work += remaining_run_time(estimate_s, ran_s) * cpus_per_task
+        ran_s = now - run.running_since if run.running_since is not None else 0.0
+        work += estimate_remaining_run_time(estimate_s, ran_s) * cpus_per_task
     return work
 
 
--- a/fallpulley/fleet/supply.py
+++ b/fallpulley/fleet/supply.py
@@ -32,8 +32,8 @@
         ):
             continue
         idle_s = None
-        if machine.usable and machine.empty and machine.scale_in.idle_since is not None:
-            idle_s = now - machine.scale_in.idle_since
+        if machine.usable and machine.empty and machine.departure.idle_since is not None:
+            idle_s = now - machine.departure.idle_since
         supply.append(
             SupplyUnit(
                 machine.machine_id,
@@ -51,17 +51,17 @@
     machine: Machine, machine_type: MachineType, now: float, max_unacknowledged_s: float
 ) -> bool:
     """Return whether the machine is online or booting, reachable, and not about to leave."""
-    scale_in = machine.scale_in
-    if scale_in.leaving_shard or scale_in.release_decided or scale_in.failed_in_cloud:
+    departure = machine.departure
+    if departure.leaving_shard or departure.release_decided or departure.failed_in_cloud:
         return False
-    if scale_in.preempted_at is not None:
+    if departure.preempted_at is not None:
         return False
     if not machine.heartbeat.ever_online:
         if now - machine.granted_at > COUNTED_BOOT_TIMES * machine_type.boot_s:
             return False
     elif not machine.heartbeat.online:
         return False
-    if not machine.fencing.fenced:
+    if not machine.fencing.token_confirmed:
         return True
     since = machine.fencing.unacknowledged_since
     return since is None or now - since <= max_unacknowledged_s
--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -91,6 +91,6 @@
     def _must_wait(self, deferred: DeferredHeartbeat) -> bool:
         machine = deferred.machine
         # The machine waits for the next plan, or for its occupancy flag to be in the record.
-        unplanned = deferred.agent.shard.needs_replan or not machine.flagged_occupied
+        unplanned = deferred.agent.shard.needs_replan or not machine.occupancy_flag
         in_time = self.context.now < deferred.deadline_at
         return unplanned and in_time and machine.usable and not machine.full
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -116,7 +116,7 @@
         if (
             machine is None
             or heartbeat.fencing_token > shard.fencing_token
-            or machine.heartbeat.is_stale_copy(heartbeat)
+            or machine.heartbeat.record_and_check_stale(heartbeat)
         ):
             # Either this controller's copy of the records is out of date, and another owner has
             # reached the machine with a higher token. Or the heartbeat is a late copy, and the
@@ -137,7 +137,7 @@
             # The machine left the shard and came back between two reads of the records by this
             # controller. It is treated as a machine that was just granted.
             machine.fencing.token = agent.shard.fencing_token
-            machine.fencing.fenced = False
+            machine.fencing.token_confirmed = False
         newer = agent.intake.handle_heartbeat(machine, heartbeat)
         if heartbeat.address:
             self.writer.addresses[heartbeat.machine_id] = heartbeat.address
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -23,7 +23,7 @@
 
 # How many responses a machine of a shard just acquired may get before it has reported this owner's
 # token.
-MAX_UNFENCED_RESPONSES = 3
+MAX_UNCONFIRMED_RESPONSES = 3
 # Delay after which a refused machine may try again, sent as the Retry-After header.
 RETRY_AFTER_SECONDS = 1.0
 # Lower bound of a machine type's image bandwidth, in GB per second; prevents a division by zero.
@@ -73,7 +73,7 @@
             self.respond_unavailable(pending_response)
             return
         commands: list[TaskCommand] = []
-        if machine.fencing.fenced:
+        if machine.fencing.token_confirmed:
             # This response renews the lease, so it carries the stop commands even if the heartbeat
             # was overtaken by the response to a direct command and is not newer.
             commands = agent.commands.pending_commands(machine)
@@ -91,20 +91,20 @@
             return False
         if not self.is_serving():
             return False  # the response window may have ended while the heartbeat waited
-        if machine.machine_id not in shard.unreconciled or machine.fencing.fenced:
+        if machine.machine_id not in shard.unreconciled or machine.fencing.token_confirmed:
             return True
         # The machine may hold tasks, and has not shown that this owner's responses reach it. Each
         # response may renew its lease, and so delays the time when it can be confirmed to hold no
         # tasks; until then, no job accepted before the failover is started. Without a limit, a
         # machine that no response reaches would delay this for ever.
-        if machine.fencing.unfenced_responses >= MAX_UNFENCED_RESPONSES:
+        if machine.fencing.unconfirmed_responses >= MAX_UNCONFIRMED_RESPONSES:
             return False
-        machine.fencing.unfenced_responses += 1
+        machine.fencing.unconfirmed_responses += 1
         return True
 
     def _may_start_tasks(self, shard: Shard, machine: Machine) -> bool:
         # The machine's own copy of the flag may be out of date, so the record's is checked too.
-        occupied = machine.flagged_occupied and self.writer.is_occupied(
+        occupied = machine.occupancy_flag and self.writer.is_occupied(
             shard.shard_id, machine.machine_id
         )
         return machine.usable and occupied and self.watch.ready
--- a/fallpulley/placement/estimate.py
+++ b/fallpulley/placement/estimate.py
@@ -46,7 +46,7 @@
         self._factors[job_class] = factor + CLASS_WEIGHT * (ratio - factor)
 
 
-def run_estimate(corrected_s: float, observed_tasks: int, observed_s: float) -> float:
+def estimate_run_time(corrected_s: float, observed_tasks: int, observed_s: float) -> float:
     """Estimate a task's run time in seconds from the corrected estimate and completed tasks.
 
     `observed_s` is the total run time of the job's `observed_tasks` completed tasks.
@@ -54,6 +54,6 @@
     return (corrected_s * PRIOR_TASKS + observed_s) / (PRIOR_TASKS + observed_tasks)
 
 
-def remaining_run_time(estimate_s: float, ran_s: float) -> float:
+def estimate_remaining_run_time(estimate_s: float, ran_s: float) -> float:
     """Estimate how many seconds a task that has run for `ran_s` still needs (`OVERRUN_SHARE`)."""
     return max(estimate_s - ran_s, OVERRUN_SHARE * max(estimate_s, ran_s))
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -70,7 +70,7 @@
         cpus, gpus, memory_gb = job.resources
         # Most jobs need no less than those behind them, so no new object is made for them.
         if cpus < lowest.cpus or gpus < lowest.gpus or memory_gb < lowest.memory_gb:
-            lowest = lowest.minimum(job.resources)
+            lowest = lowest.elementwise_minimum(job.resources)
         least.append(lowest)
     least.reverse()
     return least
--- a/fallpulley/resources.py
+++ b/fallpulley/resources.py
@@ -35,7 +35,7 @@
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
-    def minimum(self, other: Resources) -> Resources:
+    def elementwise_minimum(self, other: Resources) -> Resources:
         """Return the smaller amount of each resource."""
         return Resources(
             min(self.cpus, other.cpus),
--- a/fallpulley/scheduling/preemption.py
+++ b/fallpulley/scheduling/preemption.py
@@ -190,7 +190,7 @@
 
 def _lost_work(run: TaskRun, job: OpenJob, now: float) -> float:
     """Return the processor-seconds that a stop of the task would lose."""
-    lost_s = now - run.started_at if run.started_at is not None else 0.0
+    lost_s = now - run.running_since if run.running_since is not None else 0.0
     if job.spec.checkpoint_interval_s > 0:
         lost_s = min(lost_s, CHECKPOINT_LOSS_SHARE * job.spec.checkpoint_interval_s)
     return max(lost_s, MIN_LOST_SECONDS) * max(run.resources.cpus, MIN_CPUS)
--- a/fallpulley/scheduling/snapshot_builder.py
+++ b/fallpulley/scheduling/snapshot_builder.py
@@ -6,7 +6,7 @@
 
 from fallpulley.cloud.messages import MachineType
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.placement.estimate import remaining_run_time
+from fallpulley.placement.estimate import estimate_remaining_run_time
 from fallpulley.placement.profile import HeldResources
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.shards.shard import Shard
@@ -37,17 +37,17 @@
     for machine in shard.machines.values():
         if (
             not machine.usable
-            or not machine.flagged_occupied
+            or not machine.occupancy_flag
             or now < machine.reliability.refuses_tasks_until
-            or machine.scale_in.draining
+            or machine.departure.draining
         ):
             continue
-        snapshot = machine.snapshot
+        snapshot = machine.placement_snapshot
         if snapshot is None or now >= snapshot.valid_until:
             machine_type = machine_types.get(machine.entry.machine_type)
             if machine_type is None or _holds_unknown_tasks(machine):
                 continue  # free resources unknown, in the second case until the tasks are stopped
-            snapshot = machine.snapshot = builder.build(machine, machine_type)
+            snapshot = machine.placement_snapshot = builder.build(machine, machine_type)
         snapshots.append(snapshot)
     return snapshots
 
@@ -103,8 +103,8 @@
         now = self.now
         job = self.shard.jobs.get(run.job_id)
         estimate_s = run.estimated_run_s if job is None else self._estimate_s(job) * slowness
-        if run.started_at is not None:
-            remaining_s = remaining_run_time(estimate_s, now - run.started_at)
+        if run.running_since is not None:
+            remaining_s = estimate_remaining_run_time(estimate_s, now - run.running_since)
         else:
             ready_at = images.get(job.spec.image, now) if job is not None else now
             remaining_s = estimate_s + max(0.0, ready_at - now)
--- a/fallpulley/shards/adoption.py
+++ b/fallpulley/shards/adoption.py
@@ -35,7 +35,7 @@
         job.resources,
         reported=True,
         state=status.state,
-        started_at=now if status.state == TaskState.RUNNING else None,
+        running_since=now if status.state == TaskState.RUNNING else None,
     )
     job.runs[run.task_index] = run
     machine.runs[run.task_id] = run
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -64,9 +64,9 @@
         machine.runs[run.task_id] = run
         self.shard.decisions.task_started(run)
         machine.heartbeat.start_unacknowledged = True
-        machine.snapshot = None
+        machine.placement_snapshot = None
         log.debug("task start commanded task=%s machine=%s", run.task_id, machine.machine_id)
-        machine.scale_in.idle_since = None
+        machine.departure.idle_since = None
         return TaskCommand(_START, run.task_id, run.attempt)
 
     def stop(self, run: TaskRun, grace_period_s: float) -> None:
@@ -80,7 +80,7 @@
         machine = self.shard.machines.get(run.machine_id)
         if machine is None:
             return
-        machine.snapshot = None
+        machine.placement_snapshot = None
         if run.reported and machine.entry.address:
             command = TaskCommand(_STOP, run.task_id, run.attempt, grace_period_s)
             self.direct.send(machine, [command])
@@ -88,7 +88,7 @@
     def preempt(self, machine_id: str, task_ids: list[str]) -> None:
         """Stop tasks at once to make room; their work since the last checkpoint is lost."""
         machine = self.shard.machines[machine_id]
-        machine.snapshot = None
+        machine.placement_snapshot = None
         commands = []
         for task_id in task_ids:
             run = machine.runs[task_id]
--- a/fallpulley/shards/direct_commands.py
+++ b/fallpulley/shards/direct_commands.py
@@ -12,7 +12,7 @@
 from fallpulley.effects import Response
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
-from fallpulley.workers.machine_parts import NEVER
+from fallpulley.workers.machine_state import NEVER
 from fallpulley.workers.messages import DirectCommand, Heartbeat, TaskCommand
 
 # Minimum time between two prompts for a heartbeat, in leases: a worker reacts to a higher token
@@ -95,7 +95,10 @@
             return  # the address belongs to another machine by now
         if response.ok:
             self._on_machine_status(machine, status)
-        elif not machine.fencing.fenced and status.agent_epoch > machine.heartbeat.agent_epoch:
+        elif (
+            not machine.fencing.token_confirmed
+            and status.agent_epoch > machine.heartbeat.agent_epoch
+        ):
             # The command was refused because it was for an older epoch. Send the next probe for the
             # reported epoch, without delay.
             machine.heartbeat.agent_epoch = status.agent_epoch
--- a/fallpulley/shards/fencing_prober.py
+++ b/fallpulley/shards/fencing_prober.py
@@ -49,7 +49,11 @@
                 return
             machine_id = self._queue.popleft()
             machine = shard.machines.get(machine_id)
-            if machine is None or machine_id not in shard.unreconciled or machine.fencing.fenced:
+            if (
+                machine is None
+                or machine_id not in shard.unreconciled
+                or machine.fencing.token_confirmed
+            ):
                 # It is reconciled, has reported this owner's token, or has left the shard.
                 continue
             self._queue.append(machine_id)
@@ -62,7 +66,8 @@
         now = self.context.now
         # The response to its last heartbeat carried this owner's token; the next one reports it.
         has_token = (
-            now < machine.fencing.unfenced_heartbeat_at + self.context.timing.heartbeat_interval_s
+            now
+            < machine.fencing.unconfirmed_heartbeat_at + self.context.timing.heartbeat_interval_s
         )
         return (
             bool(machine.entry.address)
--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -47,7 +47,7 @@
             machine.heartbeat.sequence = heartbeat.sequence
             self._set_online(machine)
         else:
-            machine.snapshot = None
+            machine.placement_snapshot = None
             was_usable = machine.usable
             if self.token_check.apply_token(machine, heartbeat):
                 changes = apply_heartbeat(machine, heartbeat, self.context.now)
@@ -67,7 +67,7 @@
         if machine.is_unchanged(status):
             machine.heartbeat.sequence = status.sequence
         else:
-            machine.snapshot = None
+            machine.placement_snapshot = None
             was_usable = machine.usable
             if self.token_check.apply_token(machine, status):
                 changes = apply_direct_status(machine, status, self.context.now)
@@ -100,7 +100,7 @@
         if machine.usable != was_usable:
             self.shard.needs_replan = True
             self.shard.occupancy_due[machine.machine_id] = None
-        if machine.scale_in.preempted_at is not None:
+        if machine.departure.preempted_at is not None:
             stop_tasks_for_preemption(self.shard, self.commands, machine)
 
     def _set_reconciled(self, machine: Machine) -> None:
--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -53,13 +53,13 @@
                 continue
             self._request_change(shard, machine, entry)
             # Apply the outcome of earlier requests.
-            leaving = machine.scale_in.leaving_shard
+            leaving = machine.departure.leaving_shard
             if leaving and not self.writer.is_leaving(shard.shard_id, machine_id):
-                machine.scale_in.leaving_shard = leaving = False  # its removal was cancelled
+                machine.departure.leaving_shard = leaving = False  # its removal was cancelled
                 shard.needs_replan = True
             occupied = self.writer.is_occupied(shard.shard_id, machine_id)
-            if occupied != machine.flagged_occupied:
-                machine.flagged_occupied = occupied
+            if occupied != machine.occupancy_flag:
+                machine.occupancy_flag = occupied
                 shard.needs_replan = True
             requested = self.writer.pending_occupancy(shard.shard_id)
             if leaving or machine_id in requested:
@@ -70,10 +70,14 @@
         machine_id, context = machine.machine_id, self.context
         requested = self.writer.pending_occupancy(shard.shard_id)
         flagged = requested.get(machine_id, entry.occupied)
-        unfenced = context.now < machine.fencing.unfenced_heartbeat_at + context.timing.lease_s
+        unconfirmed = (
+            context.now < machine.fencing.unconfirmed_heartbeat_at + context.timing.lease_s
+        )
         unreconciled = machine_id in shard.unreconciled
-        may_hold_tasks = machine.heartbeat.online or bool(machine.runs) or unreconciled or unfenced
-        if (machine.usable or unfenced) and not flagged:
+        may_hold_tasks = (
+            machine.heartbeat.online or bool(machine.runs) or unreconciled or unconfirmed
+        )
+        if (machine.usable or unconfirmed) and not flagged:
             self._set_occupied(shard, machine_id, True)
         elif not may_hold_tasks and flagged and machine.granted_at < context.now:
             self._set_occupied(shard, machine_id, False)
--- a/fallpulley/shards/preemption_notice.py
+++ b/fallpulley/shards/preemption_notice.py
@@ -21,14 +21,14 @@
     not stopped yet.
     """
     context = shard.context
-    remaining_s = (machine.scale_in.preempted_at or 0.0) - context.now
+    remaining_s = (machine.departure.preempted_at or 0.0) - context.now
     for run in machine.runs.values():
         job = shard.jobs.get(run.job_id)
         if job is None or run.stop_grace_s is not None:
             continue
-        elapsed_s = context.now - (run.started_at or context.now)
+        elapsed_s = context.now - (run.running_since or context.now)
         if (
-            run.started_at is not None
+            run.running_since is not None
             and run.estimated_run_s - elapsed_s < remaining_s - FINISH_MARGIN_SECONDS
         ):
             continue
--- a/fallpulley/shards/run_times.py
+++ b/fallpulley/shards/run_times.py
@@ -21,9 +21,9 @@
     `run` is the attempt that completed the task; None if this owner does not know that attempt.
     """
     machine.reliability.completed_tasks += 1
-    if run is None or run.started_at is None or job.spec.kind is _SERVICE:
+    if run is None or run.running_since is None or job.spec.kind is _SERVICE:
         return
-    run_s = max(MIN_RUN_SECONDS, shard.context.now - run.started_at)
+    run_s = max(MIN_RUN_SECONDS, shard.context.now - run.running_since)
     # Read before the run time is recorded, because that changes the estimate.
     estimated_s = shard.estimate_run_s(job)
     machine.speed.record(run_s / estimated_s)
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -15,7 +15,7 @@
 from fallpulley.jobs.messages import JobKind, JobRecord
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.jobs.pipelines import DependencyNode
-from fallpulley.placement.estimate import Corrections, run_estimate
+from fallpulley.placement.estimate import Corrections, estimate_run_time
 from fallpulley.placement.plan import Booking
 from fallpulley.records.shard_record import MachineEntry, ShardRecord
 from fallpulley.shards.attempt_numbers import AttemptNumbers
@@ -160,7 +160,9 @@
         if job.spec.kind is _SERVICE:
             return SERVICE_LEASES * self.context.timing.lease_s
         corrected_s = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
-        return run_estimate(corrected_s, job.run_times.observed_tasks, job.run_times.observed_run_s)
+        return estimate_run_time(
+            corrected_s, job.run_times.observed_tasks, job.run_times.observed_run_s
+        )
 
     # -- machines --------------------------------------------------------------------------
 
@@ -178,7 +180,7 @@
             ]:
                 self._add_machine(machine_id, record.machines[machine_id])
         for machine_id in self.unacknowledged:
-            if self.machines[machine_id].fencing.fenced:
+            if self.machines[machine_id].fencing.token_confirmed:
                 self.machines[machine_id].fencing.advance_token(mod_revision)
         self.needs_replan = True
 
@@ -234,7 +236,7 @@
         machine.runs.clear()
         machine.tasks = {}
         machine.heartbeat.reported_tasks = []
-        machine.snapshot = None
+        machine.placement_snapshot = None
         self.needs_replan = True
         self.occupancy_due[machine.machine_id] = None
 
--- a/fallpulley/shards/task_changes.py
+++ b/fallpulley/shards/task_changes.py
@@ -38,16 +38,16 @@
             self._on_vanished(run)
         for exited in changes.exited:
             self._on_exited(machine, exited)
-        for run in changes.started:
+        for run in changes.image_fetch_completed:
             self._on_started(machine, run)
         for status in changes.unknown_tasks:
             adopt_task(self.shard, machine, status)
         if changes.vanished or changes.exited:
             self.shard.needs_replan = True
         if not machine.empty:
-            machine.scale_in.idle_since = None
-        elif machine.scale_in.idle_since is None:
-            machine.scale_in.idle_since = self.context.now
+            machine.departure.idle_since = None
+        elif machine.departure.idle_since is None:
+            machine.departure.idle_since = self.context.now
 
     def _on_vanished(self, run: TaskRun) -> None:
         self.shard.drop_run(run)
--- a/fallpulley/shards/token_check.py
+++ b/fallpulley/shards/token_check.py
@@ -13,10 +13,10 @@
 
 
 class TokenCheck:
-    """Tracks which machines of one shard are fenced, and which are unacknowledged.
+    """Tracks which machines of one shard have confirmed the token, and which are unacknowledged.
 
-    A fenced machine has reported a token of this owner. The heartbeats of an unacknowledged machine
-    arrive, but do not show that this owner's responses reach it.
+    A machine confirms the token by reporting a token of this owner. The heartbeats of an
+    unacknowledged machine arrive, but do not show that this owner's responses reach it.
     """
 
     def __init__(self, context: ControllerContext, shard: Shard) -> None:
@@ -31,10 +31,10 @@
         was renewed nor what the machine holds now.
         """
         self._check_token(machine, heartbeat)
-        if machine.fencing.fenced:
+        if machine.fencing.token_confirmed:
             return True
         machine.heartbeat.advance(heartbeat)
-        machine.fencing.unfenced_heartbeat_at = self.context.now
+        machine.fencing.unconfirmed_heartbeat_at = self.context.now
         self.shard.occupancy_due[machine.machine_id] = None
         return False
 
@@ -55,19 +55,19 @@
             self.shard.needs_new_revision = True
 
     def _check_token(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        """Set whether the machine is fenced and acknowledged, by the token in its heartbeat.
+        """Set whether the token is confirmed and the machine acknowledged, by the token reported.
 
         The token is the highest that the machine has received. It shows whether anything from this
         owner has reached the machine since its token was last raised.
         """
         if heartbeat.fencing_token >= machine.fencing.token:
             self._set_acknowledged(machine)
-        elif not machine.fencing.fenced and machine.fencing.unacknowledged_since is None:
+        elif not machine.fencing.token_confirmed and machine.fencing.unacknowledged_since is None:
             self._set_unacknowledged(machine)
 
     def _set_acknowledged(self, machine: Machine) -> None:
-        if not machine.fencing.fenced:
-            machine.fencing.fenced = True
+        if not machine.fencing.token_confirmed:
+            machine.fencing.token_confirmed = True
             self.shard.needs_replan = True
         if machine.fencing.unacknowledged_since is not None:
             machine.fencing.unacknowledged_since = None
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -140,7 +140,7 @@
         remaining = list(moves)
         for machine in sorted(shard.machines.values(), key=_drain_cost):
             cpus = self._machine_cpus(machine)
-            if cpus <= 0 or machine.scale_in.leaving_shard or not machine.usable:
+            if cpus <= 0 or machine.departure.leaving_shard or not machine.usable:
                 continue
             move = max(remaining, key=lambda move: move.deficit, default=None)
             if move is None or not move.improves(cpus):
@@ -150,10 +150,10 @@
         return chosen
 
     def _set_draining(self, shard: Shard, machine: Machine, draining: bool) -> None:
-        if machine.scale_in.draining == draining:
+        if machine.departure.draining == draining:
             return
-        machine.scale_in.draining = draining
-        machine.snapshot = None
+        machine.departure.draining = draining
+        machine.placement_snapshot = None
         shard.needs_replan = True
         if draining:
             shard.bookings.pop(machine.machine_id, None)
@@ -170,7 +170,7 @@
             machine = shard.machines[machine_id]
             if not machine.empty:
                 continue
-            machine.scale_in.leaving_shard = True
+            machine.departure.leaving_shard = True
             shard.occupancy_due[machine_id] = None
             shard.bookings.pop(machine_id, None)
             shard.needs_replan = True
@@ -187,7 +187,7 @@
 
 def _drain_cost(machine: Machine) -> DrainCost:
     running = sum(run.resources.cpus for run in machine.runs.values())
-    return DrainCost(not machine.empty, not machine.scale_in.draining, running)
+    return DrainCost(not machine.empty, not machine.departure.draining, running)
 
 
 def _reduce_move(move: Move, destination: str, cpus: float) -> Move:
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -66,10 +66,10 @@
             and controller_id in registry.sessions
         ]
 
-    def shard_for_rental(self, asked_for: str) -> str:
+    def shard_for_rental(self, requesting_shard: str) -> str:
         """Return the shard furthest below its target: it gets the new machines."""
         if not self._record.table.shares:
-            return asked_for
+            return requesting_shard
         targets = self._targets()
         deficits = {
             shard_id: targets.target[shard_id] - targets.actual[shard_id]
@@ -77,8 +77,8 @@
         }
         return max(
             deficits,
-            key=lambda shard_id: (deficits[shard_id], shard_id == asked_for),
-            default=asked_for,
+            key=lambda shard_id: (deficits[shard_id], shard_id == requesting_shard),
+            default=requesting_shard,
         )
 
     def _targets(self) -> Targets:
--- a/fallpulley/shares/status.py
+++ b/fallpulley/shares/status.py
@@ -59,7 +59,7 @@
         shard = self._access.owned.shards.get(shard_id)
         draining = None
         if shard is not None:
-            draining = sum(machine.scale_in.draining for machine in shard.machines.values())
+            draining = sum(machine.departure.draining for machine in shard.machines.values())
         has_shares = bool(self._record.table.shares)
         return ShardState(
             shard_id,
--- a/fallpulley/workers/heartbeat_changes.py
+++ b/fallpulley/workers/heartbeat_changes.py
@@ -32,7 +32,7 @@
     vanished: list[TaskRun] = []  # runs that the machine no longer has, or never had
     start_missed: bool = False  # a start command of this owner did not take effect
     exited: list[ExitedTask] = []
-    started: list[TaskRun] = []  # runs whose image fetch has completed since the last state
+    image_fetch_completed: list[TaskRun] = []  # runs whose image is fetched since the last state
     unknown_tasks: list[TaskStatus] = []  # tasks on the machine that match no known run
 
 
@@ -55,7 +55,7 @@
         _begin_epoch(machine, changes)
     machine.heartbeat.advance(status)
     notice_s = status.preemption_notice_s
-    machine.scale_in.preempted_at = None if notice_s is None else now + notice_s
+    machine.departure.preempted_at = None if notice_s is None else now + notice_s
     machine.tasks = {task.task_id: task for task in status.tasks}
     machine.heartbeat.reported_tasks = status.tasks
     if status.address and status.address != machine.entry.address:
@@ -72,7 +72,7 @@
     was never acknowledged, this owner's responses have not reached it.
     """
     responses_missed = machine.heartbeat.online or machine.heartbeat.start_unacknowledged
-    changes.start_missed = responses_missed and machine.fencing.fenced
+    changes.start_missed = responses_missed and machine.fencing.token_confirmed
     changes.vanished.extend(machine.runs.values())
     machine.runs.clear()
     machine.images.fetching.clear()
@@ -92,9 +92,9 @@
         changes.unknown_tasks.append(status)
     else:
         run.reported = True
-        if status.state in STARTED_STATES and run.started_at is None:
-            run.started_at = now
-            changes.started.append(run)
+        if status.state in STARTED_STATES and run.running_since is None:
+            run.running_since = now
+            changes.image_fetch_completed.append(run)
         run.state = status.state
 
 
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -7,12 +7,12 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.records.shard_record import MachineEntry
 from fallpulley.resources import Resources
-from fallpulley.workers.machine_parts import (
+from fallpulley.workers.machine_state import (
+    DepartureState,
     FencingState,
     HeartbeatState,
     ImageCache,
     Reliability,
-    ScaleInState,
     SpeedEstimate,
 )
 from fallpulley.workers.messages import Heartbeat, TaskState, TaskStatus
@@ -35,7 +35,7 @@
     state: TaskState = TaskState.FETCHING
     # When its image fetch was first known to be complete, in seconds of the monotonic clock; None
     # until then.
-    started_at: float | None = None
+    running_since: float | None = None
     # Grace period of its stop command in seconds; None if it is not to stop.
     stop_grace_s: float | None = None
 
@@ -49,7 +49,7 @@
     """A machine of a shard, as its owner knows it.
 
     This state is held in memory only; durable facts are in the shard's record. It is grouped by
-    concern into the classes of `machine_parts`.
+    concern into the classes of `machine_state`.
     """
 
     def __init__(
@@ -63,32 +63,32 @@
         self.images = ImageCache()
         self.speed = SpeedEstimate()
         self.reliability = Reliability()
-        self.scale_in = ScaleInState()
+        self.departure = DepartureState()
         self.tasks: dict[str, TaskStatus] = {}  # tasks as the machine last listed them, by task_id
         self.runs: dict[str, TaskRun] = {}  # attempts that may be on the machine, by task_id
         # Whether the occupancy flag is set in the shard's record: only then may tasks be started.
-        self.flagged_occupied = False
+        self.occupancy_flag = False
         # The machine as the last plan saw it; None if something has changed since.
-        self.snapshot: MachineSnapshot | None = None
+        self.placement_snapshot: MachineSnapshot | None = None
 
     @property
     def usable(self) -> bool:
         """Whether it may get tasks: it is online, commands reach it and it is not to leave."""
-        scale_in, fencing = self.scale_in, self.fencing
+        departure, fencing = self.departure, self.fencing
         return (
             self.heartbeat.online
-            and fencing.fenced
+            and fencing.token_confirmed
             and fencing.unacknowledged_since is None
-            and not scale_in.leaving_shard
-            and not scale_in.release_decided
-            and not scale_in.failed_in_cloud
-            and scale_in.preempted_at is None
+            and not departure.leaving_shard
+            and not departure.release_decided
+            and not departure.failed_in_cloud
+            and departure.preempted_at is None
         )
 
     @property
     def full(self) -> bool:
         """Whether it had no free capacity in the last plan, and nothing has changed since."""
-        snapshot = self.snapshot
+        snapshot = self.placement_snapshot
         return (
             snapshot is not None
             and snapshot.profile is not None
@@ -103,10 +103,10 @@
     def is_unchanged(self, heartbeat: Heartbeat) -> bool:
         """Whether the heartbeat shows only that the machine is still online."""
         return (
-            self.fencing.fenced
+            self.fencing.token_confirmed
             and not self.heartbeat.start_unacknowledged
             and self.fencing.unacknowledged_since is None
-            and self.scale_in.preempted_at is None
+            and self.departure.preempted_at is None
             and heartbeat.preemption_notice_s is None
             and heartbeat.agent_epoch == self.heartbeat.agent_epoch
             and heartbeat.tasks == self.heartbeat.reported_tasks
--- a/fallpulley/workers/machine_parts.py
+++ b/fallpulley/workers/machine_state.py
@@ -51,7 +51,7 @@
         """Record the heartbeat's version as that of the newest known state."""
         self.agent_epoch, self.sequence = heartbeat.version
 
-    def is_stale_copy(self, heartbeat: Heartbeat) -> bool:
+    def record_and_check_stale(self, heartbeat: Heartbeat) -> bool:
         """Record the heartbeat's version; return whether one as new or newer was received before.
 
         A heartbeat that was overtaken only by the response to a direct command is no stale copy:
@@ -70,12 +70,12 @@
     # that one to the record's newest belong to this owner alone, so the token may be raised to any
     # of them.
     token: int
-    fenced: bool = False  # the machine has reported a token of this owner
+    token_confirmed: bool = False  # the machine has reported a token of this owner
     # Since when its heartbeats have arrived without showing that this owner's responses reach it;
     # None if the responses reach it.
     unacknowledged_since: float | None = None
-    unfenced_heartbeat_at: float = NEVER  # last heartbeat without a token of this owner
-    unfenced_responses: int = 0  # responses sent before it reported a token of this owner
+    unconfirmed_heartbeat_at: float = NEVER  # last heartbeat without a token of this owner
+    unconfirmed_responses: int = 0  # responses sent before it reported a token of this owner
     prompted_at: float = NEVER  # when a raised token last prompted a heartbeat
     probe_in_flight: bool = False  # a probe (an empty direct command) has no outcome yet
     next_probe_at: float = NEVER  # earliest time of the next probe
@@ -149,7 +149,7 @@
     refuses_tasks_until: float = NEVER  # no bookings before then, after a refused start
 
 
-class ScaleInState(msgspec.Struct):
+class DepartureState(msgspec.Struct):
     """Whether and why the machine is about to leave its shard or the fleet."""
 
     draining: bool = False  # gets no new tasks, and leaves the shard once it is empty
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -19,7 +19,7 @@
     world, uid = busy(pieces=4, seconds=60.0, expect_s=60.0)
     world.run(5.0)
     looks = ticks = 0
-    mark, tick = OccupancyFlags.update_all, ShardBalancer.hand_off_if_unreached
+    mark, tick = OccupancyFlags.update_all, ShardBalancer.hand_off_if_unreachable
 
     def counted_mark(self: OccupancyFlags, held: object) -> None:
         nonlocal looks
@@ -32,7 +32,7 @@
         tick(self, held)  # type: ignore[arg-type]
 
     monkeypatch.setattr(OccupancyFlags, "update_all", counted_mark)
-    monkeypatch.setattr(ShardBalancer, "hand_off_if_unreached", counted_tick)
+    monkeypatch.setattr(ShardBalancer, "hand_off_if_unreachable", counted_tick)
     world.run(10.0)
     assert len(world.running(uid)) == 4
     assert ticks > 30 and looks <= ticks / 5
@@ -50,7 +50,7 @@
         Shard, "estimate_run_s", lambda self, job: asked.append(job.job_id) or estimate(job)
     )
     for machine in held.machines.values():
-        machine.snapshot = None
+        machine.placement_snapshot = None
     slots = machine_snapshots(held, controller.parts.registry.machine_types, world.now)
     assert sum(len(slot.running) for slot in slots) == 4
     assert asked == [uid]
--- a/tests/test_day_end.py
+++ b/tests/test_day_end.py
@@ -232,7 +232,7 @@
         replay(world, world.holder(), body)
         machine = held.machines[host]
         assert (
-            not machine.fencing.fenced
+            not machine.fencing.token_confirmed
             and not machine.heartbeat.online
             and host in held.unreconciled
         )
@@ -436,11 +436,11 @@
     world, uid = busy(4, 60.0, expect_s=60.0)
     world.run(3.0)
     held = next(iter(world.controllers[world.holder()].parts.owned.shards.values()))
-    pictures = {host: machine.snapshot for host, machine in held.machines.items()}
+    pictures = {host: machine.placement_snapshot for host, machine in held.machines.items()}
     ticks = {host: machine.heartbeat.sequence for host, machine in held.machines.items()}
     token = held.fencing_token
     world.run(3.0)
     assert len(world.running(uid)) == 4 and held.fencing_token == token
     for host, machine in held.machines.items():
         assert machine.heartbeat.sequence >= ticks[host] + 2  # it went on reporting
-        assert machine.snapshot is pictures[host] is not None
+        assert machine.placement_snapshot is pictures[host] is not None
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -685,7 +685,7 @@
     controller = world.controllers[world.holder()]
     (held,) = controller.parts.owned.shards.values()
     machine = next(iter(held.machines.values()))
-    machine.scale_in.leaving_shard = True
+    machine.departure.leaving_shard = True
     world.run(1.0)
     assert machine.usable
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fallpulley.placement.estimate import Corrections, remaining_run_time, run_estimate
+from fallpulley.placement.estimate import (
+    Corrections,
+    estimate_remaining_run_time,
+    estimate_run_time,
+)
 from fallpulley.placement.machine_pool import MachinePool
 from fallpulley.placement.plan import make_plan
 from fallpulley.placement.profile import Profile
@@ -138,10 +142,10 @@
         learned.record_run_time("c", 10.0, 20.0)
     assert 1.9 < learned.factor("c") <= 2.0
     assert learned.factor("other") == 1.0
-    assert run_estimate(10.0, 0, 0.0) == 10.0
-    assert 18.0 < run_estimate(10.0, 20, 400.0) < 20.0
-    assert remaining_run_time(10.0, 4.0) == 6.0
-    assert remaining_run_time(10.0, 30.0) > 0
+    assert estimate_run_time(10.0, 0, 0.0) == 10.0
+    assert 18.0 < estimate_run_time(10.0, 20, 400.0) < 20.0
+    assert estimate_remaining_run_time(10.0, 4.0) == 6.0
+    assert estimate_remaining_run_time(10.0, 30.0) > 0
 
 
 def test_the_queue_order_is_total() -> None:
