--- a/fallpulley/controller/health.py
+++ b/fallpulley/controller/health.py
@@ -62,7 +62,7 @@
             and self.peers.has_no_live_peer()
         )
 
-    def is_serving(self) -> bool:
+    def may_respond_to_machines(self) -> bool:
         """Return whether this controller may respond to its machines.
 
         It may within the response window, which begins at its last renewal of the session or at its
--- a/fallpulley/controller/job_sync.py
+++ b/fallpulley/controller/job_sync.py
@@ -8,7 +8,7 @@
 from fallpulley.jobs.messages import JobState
 from fallpulley.jobs.service import JobService
 from fallpulley.shards.agent import ShardAgent
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.shards.shard import Shard
 
 
@@ -18,9 +18,9 @@
     A cancellation announced as durable takes precedence over an older copy of the job's record.
     """
 
-    def __init__(self, jobs: JobService, owned: OwnedShards) -> None:
+    def __init__(self, jobs: JobService, owned_shards: OwnedShards) -> None:
         self.jobs = jobs
-        self.owned = owned
+        self.owned_shards = owned_shards
         # Jobs announced as cancelled before the records that end them have arrived.
         self._cancelled_before_record: set[str] = set()
 
@@ -37,7 +37,7 @@
         Does nothing if this controller does not own the shard.
         """
         entry = self.jobs.entries[job_id]
-        agent = self.owned.agents.get(entry.shard_id)
+        agent = self.owned_shards.agents.get(entry.shard_id)
         if agent is None:
             return
         open_job = agent.shard.jobs.get(job_id)
@@ -67,7 +67,7 @@
         They end whatever this controller's copy of their records still shows.
         """
         for job_id in job_ids:
-            for agent in self.owned.agents.values():
+            for agent in self.owned_shards.agents.values():
                 self._stop_cancelled(agent, job_id)
 
     def _stop_cancelled(self, agent: ShardAgent, job_id: str) -> None:
--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -21,7 +21,7 @@
 from fallpulley.scheduling.planner import Planner
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.occupancy import OccupancyFlags
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.state.watch_cache import WatchCache
 
 # Time from one tick to the next, in heartbeat intervals of the workers.
@@ -53,7 +53,7 @@
         heartbeats: HeartbeatHandler,
         peers: Peers,
         health: Health,
-        owned: OwnedShards,
+        owned_shards: OwnedShards,
         extensions: Extensions,
     ) -> None:
         self.context = context
@@ -72,7 +72,7 @@
         self.heartbeats = heartbeats
         self.peers = peers
         self.health = health
-        self.owned = owned
+        self.owned_shards = owned_shards
         self.extensions = extensions
         # Requests for machines that the next heartbeat carries, by shard id.
         self._machine_requests: dict[str, list[MachineRequest]] = {}
@@ -86,7 +86,7 @@
         self.session.tick()
         for extension in self.extensions:
             extension.on_step()
-        self.heartbeats.retry_parked()
+        self.heartbeats.retry_awaiting_grant()
         # Work that goes over all machines and jobs is done by the clock, not with every batch.
         if self.context.now < self._next_tick_at:
             return
@@ -98,7 +98,7 @@
 
     def plan(self) -> None:
         """Plan the shards in which something changed; called in every step, after `run`."""
-        if self.watch.ready and self.planner.plan(self.owned.agents):
+        if self.watch.ready and self.planner.plan(self.owned_shards.agents):
             self.heartbeats.recheck_deferred()
 
     def _tick(self) -> None:
@@ -112,7 +112,7 @@
         if occupancy_due:
             interval_s = OCCUPANCY_INTERVAL_HEARTBEATS * self.context.timing.heartbeat_interval_s
             self._next_occupancy_at = self.context.now + interval_s
-        for agent in self.owned.agents.values():
+        for agent in self.owned_shards.agents.values():
             self._tick_shard(agent, occupancy_due, term is not None)
         for extension in self.extensions:
             extension.on_shards_checked()
@@ -130,7 +130,7 @@
         elif shard.occupancy_due:
             self.occupancy.update_due(shard)
         if shard.unreconciled:
-            agent.fencing.tick(self.writer.addresses)
+            agent.fencing_prober.tick(self.writer.addresses)
         self._request_record_rewrite(agent)
         self.persistence.tick(shard, self.jobs.cancelled_dependents.get(shard.shard_id, {}))
         if self.session.is_live():
@@ -160,7 +160,7 @@
         if leading:
             self.provider.target_sizes = self.balancer.target_sizes()
         if not self.extensions.balance_shards:
-            self.balancer.rebalance(self.owned.shards)
+            self.balancer.rebalance(self.owned_shards.shards)
         machine_requests = [
             request for requests in self._machine_requests.values() for request in requests
         ]
@@ -175,7 +175,7 @@
         Also updates the job service's counts of all owned jobs.
         """
         task_counts = {}
-        for shard in self.owned.shards.values():
+        for shard in self.owned_shards.shards.values():
             for job in shard.jobs.values():
                 if not job.ended:
                     task_counts[job.job_id] = (job.progress.completed.count, len(job.runs))
--- a/fallpulley/controller/shard_lifecycle.py
+++ b/fallpulley/controller/shard_lifecycle.py
@@ -12,7 +12,7 @@
 from fallpulley.records.writer import ShardWriter
 from fallpulley.shard_sizes import change_share
 from fallpulley.shards.agent import ShardAgent
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.shards.shard import Shard
 
 log = logging.getLogger(__name__)
@@ -26,14 +26,14 @@
         context: ControllerContext,
         registry: Registry,
         writer: ShardWriter,
-        owned: OwnedShards,
+        owned_shards: OwnedShards,
         job_sync: JobSync,
         extensions: Extensions,
     ) -> None:
         self.context = context
         self.registry = registry
         self.writer = writer
-        self.owned = owned
+        self.owned_shards = owned_shards
         self.job_sync = job_sync
         self.extensions = extensions
         # Previous owners of owned shards that are not known to have ended, by shard id.
@@ -49,7 +49,7 @@
             self._end_ownership(shard_id)
             return
         record, mod_revision = entry
-        shard = self.owned.shards.get(shard_id)
+        shard = self.owned_shards.shards.get(shard_id)
         if shard is None:
             self._acquire(shard_id, record, mod_revision, previous)
             return
@@ -68,8 +68,8 @@
         mod_revision: int,
         previous: OwnerProcess | None,
     ) -> None:
-        shard = Shard(self.context, shard_id, record, mod_revision, fresh=previous is None)
-        self.owned.add(ShardAgent(self.context, shard))
+        shard = Shard(self.context, shard_id, record, mod_revision, never_owned=previous is None)
+        self.owned_shards.add(ShardAgent(self.context, shard))
         self._previous_owners[shard_id] = record.previous_owners
         log.info(
             "shard acquired shard=%s token=%d machines=%d from=%s",
@@ -84,11 +84,11 @@
         self.check_previous_owners()
 
     def _end_ownership(self, shard_id: str) -> None:
-        shard = self.owned.shards.get(shard_id)
+        shard = self.owned_shards.shards.get(shard_id)
         if shard is None:
             return
         log.info("shard ownership lost shard=%s token=%d", shard_id, shard.fencing_token)
-        self.owned.remove(shard_id)
+        self.owned_shards.remove(shard_id)
         self.writer.forget_shard(shard_id)
         for extension in self.extensions:
             extension.on_shard_lost(shard_id)
@@ -98,7 +98,7 @@
 
         From then on, this controller alone responds to the machines of the shard.
         """
-        for shard_id, agent in self.owned.agents.items():
+        for shard_id, agent in self.owned_shards.agents.items():
             previous_owners = self._previous_owners.get(shard_id)
             if not agent.shard.unreconciled or previous_owners is None:
                 continue
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -31,7 +31,7 @@
 from fallpulley.scheduling.planner import Planner
 from fallpulley.settings import Settings
 from fallpulley.shards.occupancy import OccupancyFlags
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.state.watch_cache import WatchCache
 
 # Minimum number of watches that return within one session length: each return shows that this
@@ -49,7 +49,7 @@
     context: ControllerContext
     watch: WatchCache
     registry: Registry
-    owned: OwnedShards
+    owned_shards: OwnedShards
     extensions: Extensions
     session: SessionLease
     leadership: Leadership
@@ -74,7 +74,7 @@
     context = ControllerContext(settings, incarnation, clock)
     watch = _build_watch(context)
     registry = Registry()
-    owned = OwnedShards()
+    owned_shards = OwnedShards()
     extensions = Extensions()
     session = SessionLease(context, watch)
     leadership = Leadership(context, watch, registry, session, extensions)
@@ -86,11 +86,18 @@
     peers = Peers(context)
     health = Health(context, watch, session, peers)
     planner = Planner(context, registry, jobs)
-    job_sync = JobSync(jobs, owned)
+    job_sync = JobSync(jobs, owned_shards)
     heartbeats = HeartbeatHandler(
-        context, watch, registry, leadership, writer, provider, owned, health.is_serving
+        context,
+        watch,
+        registry,
+        leadership,
+        writer,
+        provider,
+        owned_shards,
+        health.may_respond_to_machines,
     )
-    lifecycle = ShardLifecycle(context, registry, writer, owned, job_sync, extensions)
+    lifecycle = ShardLifecycle(context, registry, writer, owned_shards, job_sync, extensions)
     dispatcher = RecordDispatcher(context, registry, job_sync, lifecycle, extensions)
     watch.subscribe(dispatcher.on_key_changed)
     periodic = PeriodicTasks(
@@ -110,14 +117,14 @@
         heartbeats,
         peers,
         health,
-        owned,
+        owned_shards,
         extensions,
     )
     parts = ControllerParts(
         context=context,
         watch=watch,
         registry=registry,
-        owned=owned,
+        owned_shards=owned_shards,
         extensions=extensions,
         session=session,
         leadership=leadership,
@@ -159,7 +166,7 @@
         parts.registry,
         parts.session,
         parts.leadership,
-        parts.owned,
+        parts.owned_shards,
     )
     if operators.standby.enabled:
         from fallpulley.standby.service import Standby
--- a/fallpulley/controller_access.py
+++ b/fallpulley/controller_access.py
@@ -8,7 +8,7 @@
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
 from fallpulley.records.registry import Registry
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteCallback
 from fallpulley.state.watch_cache import WatchCache
 
@@ -24,7 +24,7 @@
     registry: Registry
     session: SessionLease
     leadership: Leadership
-    owned: OwnedShards
+    owned_shards: OwnedShards
 
     @property
     def is_leader(self) -> bool:
--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -137,7 +137,7 @@
         Only the owner of the shard may decide this. The shard's revision is added to `conditions`,
         so that any later owner sees the intent before it acquires the shard.
         """
-        shard = self._access.owned.shards.get(shard_id)
+        shard = self._access.owned_shards.shards.get(shard_id)
         if shard is None:
             return False
         departure = shard.machines[machine_id].departure
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -61,7 +61,7 @@
         No tasks are placed on a machine that may be released at any moment.
         """
         shard_id = self._access.registry.shard_of_machine.get(machine_id, "")
-        shard = self._access.owned.shards.get(shard_id)
+        shard = self._access.owned_shards.shards.get(shard_id)
         machine = shard.machines.get(machine_id) if shard is not None else None
         if shard is None or machine is None:
             return
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -16,7 +16,7 @@
 from fallpulley.records.registry import Registry
 from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.agent import ShardAgent
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.state.watch_cache import WatchCache
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import Heartbeat, Redirect, parse_heartbeat
@@ -50,13 +50,13 @@
         leadership: Leadership,
         writer: ShardWriter,
         provider: MachineProvider,
-        owned: OwnedShards,
-        is_serving: Callable[[], bool],
+        owned_shards: OwnedShards,
+        may_respond_to_machines: Callable[[], bool],
     ) -> None:
         """Create a handler without waiting heartbeats.
 
-        `is_serving` tells whether this controller is within its response window, so that it may
-        respond to machines.
+        `may_respond_to_machines` tells whether this controller is within its response window, so
+        that it may respond to machines.
         """
         self.context = context
         self.watch = watch
@@ -64,9 +64,11 @@
         self.leadership = leadership
         self.writer = writer
         self.provider = provider
-        self.owned = owned
-        self.is_serving = is_serving
-        self.responder = HeartbeatResponder(context, watch, registry, writer, owned, is_serving)
+        self.owned_shards = owned_shards
+        self.may_respond_to_machines = may_respond_to_machines
+        self.responder = HeartbeatResponder(
+            context, watch, registry, writer, owned_shards, may_respond_to_machines
+        )
         self.deferred = DeferredHeartbeats(context, self.responder)
         self._awaiting_grant: list[HeartbeatAwaitingGrant] = []
 
@@ -78,7 +80,7 @@
             return
         self._route(pending_response, heartbeat, self.context.now + GRANT_WAIT_SECONDS)
 
-    def retry_parked(self) -> None:
+    def retry_awaiting_grant(self) -> None:
         """Route the waiting heartbeats whose machines were granted, or whose wait has ended."""
         awaiting_grant, self._awaiting_grant = self._awaiting_grant, []
         for waiting in awaiting_grant:
@@ -100,14 +102,14 @@
         self, pending_response: PendingResponse, heartbeat: Heartbeat, deadline_at: float
     ) -> None:
         """Apply, redirect or refuse a heartbeat, or let it wait until `deadline_at` for a grant."""
-        if not self.watch.loaded or not self.is_serving():
+        if not self.watch.loaded or not self.may_respond_to_machines():
             self.responder.respond_unavailable(pending_response)
             return
         shard_id = self.registry.shard_of_machine.get(heartbeat.machine_id)
         if shard_id is None:
             self._handle_unknown_machine(pending_response, heartbeat, deadline_at)
             return
-        agent = self.owned.agents.get(shard_id)
+        agent = self.owned_shards.agents.get(shard_id)
         if agent is None:
             self._redirect(pending_response, self.registry.owner_of(shard_id))
             return
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -15,7 +15,7 @@
 from fallpulley.records.registry import Registry
 from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.agent import ShardAgent
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.shards.shard import Shard
 from fallpulley.state.watch_cache import WatchCache
 from fallpulley.workers.machine import Machine
@@ -41,20 +41,20 @@
         watch: WatchCache,
         registry: Registry,
         writer: ShardWriter,
-        owned: OwnedShards,
-        is_serving: Callable[[], bool],
+        owned_shards: OwnedShards,
+        may_respond_to_machines: Callable[[], bool],
     ) -> None:
         """Create a responder.
 
-        `is_serving` tells whether this controller is within its response window, so that it may
-        respond to machines.
+        `may_respond_to_machines` tells whether this controller is within its response window, so
+        that it may respond to machines.
         """
         self.context = context
         self.watch = watch
         self.registry = registry
         self.writer = writer
-        self.owned = owned
-        self.is_serving = is_serving
+        self.owned_shards = owned_shards
+        self.may_respond_to_machines = may_respond_to_machines
 
     def respond_unavailable(self, pending_response: PendingResponse) -> None:
         """Refuse a heartbeat, which renews no lease; the machine then tries the next controller."""
@@ -85,11 +85,11 @@
 
     def _may_respond(self, shard: Shard, machine: Machine) -> bool:
         if (
-            self.owned.shards.get(shard.shard_id) is not shard
+            self.owned_shards.shards.get(shard.shard_id) is not shard
             or machine.machine_id not in shard.machines
         ):
             return False
-        if not self.is_serving():
+        if not self.may_respond_to_machines():
             return False  # the response window may have ended while the heartbeat waited
         if machine.machine_id not in shard.unreconciled or machine.fencing.token_confirmed:
             return True
--- a/fallpulley/scheduling/planner.py
+++ b/fallpulley/scheduling/planner.py
@@ -71,4 +71,4 @@
         for machine_id in agent.shard.bookings:
             machine = agent.shard.machines.get(machine_id)
             if machine is not None and machine.heartbeat.received_at + interval_s > soon:
-                agent.direct.prompt_heartbeat(machine)
+                agent.direct_commands.prompt_heartbeat(machine)
--- a/fallpulley/shards/agent.py
+++ b/fallpulley/shards/agent.py
@@ -20,11 +20,11 @@
 
     def __init__(self, context: ControllerContext, shard: Shard) -> None:
         self.shard = shard
-        self.direct = DirectCommands(context, shard, self._on_direct_status)
-        self.commands = MachineCommands(context, shard, self.direct)
+        self.direct_commands = DirectCommands(context, shard, self._on_direct_status)
+        self.commands = MachineCommands(context, shard, self.direct_commands)
         self.lease_expiry = LeaseExpiry(context, shard)
         self.intake = HeartbeatIntake(context, shard, self.commands, self.lease_expiry)
-        self.fencing = FencingProber(context, shard, self.direct)
+        self.fencing_prober = FencingProber(context, shard, self.direct_commands)
 
     def end_job(self, job: OpenJob, cancelled: bool) -> None:
         """Stop all tasks of a job whose record is final, and start no more of them."""
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -36,10 +36,12 @@
 class MachineCommands:
     """Makes the commands for one shard's machines, sent in heartbeat responses or directly."""
 
-    def __init__(self, context: ControllerContext, shard: Shard, direct: DirectCommands) -> None:
+    def __init__(
+        self, context: ControllerContext, shard: Shard, direct_commands: DirectCommands
+    ) -> None:
         self.context = context
         self.shard = shard
-        self.direct = direct
+        self.direct_commands = direct_commands
 
     def start(
         self, machine: Machine, job: OpenJob, booking: Booking, estimated_run_s: float
@@ -83,7 +85,7 @@
         machine.placement_snapshot = None
         if run.reported and machine.entry.address:
             command = TaskCommand(_STOP, run.task_id, run.attempt, grace_period_s)
-            self.direct.send(machine, [command])
+            self.direct_commands.send(machine, [command])
 
     def preempt(self, machine_id: str, task_ids: list[str]) -> None:
         """Stop tasks at once to make room; their work since the last checkpoint is lost."""
@@ -97,7 +99,7 @@
             commands.append(TaskCommand(_STOP, run.task_id, run.attempt, 0.0))
             log.info("task preempted task=%s machine=%s", run.task_id, machine_id)
         if machine.entry.address:
-            self.direct.send(machine, commands)
+            self.direct_commands.send(machine, commands)
 
     def pending_commands(self, machine: Machine) -> list[TaskCommand]:
         """Return the forget and stop commands for the response to a machine's heartbeat."""
--- a/fallpulley/shards/decisions.py
+++ b/fallpulley/shards/decisions.py
@@ -19,24 +19,24 @@
     def task_stopped(self, run: TaskRun) -> None:
         """Record that the machine of an attempt is commanded to stop it."""
 
-    def task_gone(self, run: TaskRun, cause: str) -> None:
+    def task_ended(self, run: TaskRun, exit_reason: str) -> None:
         """Record that an attempt has exited or is confirmed gone from its machine.
 
-        `cause` is the exit reason of an attempt that has exited (empty if it reported none), and
-        `gone` otherwise.
+        `exit_reason` is the reason that an attempt that has exited reported (empty if it reported
+        none), and `gone` otherwise.
         """
 
-    def run_time_learned(self, job_id: str, observed: int, observed_s: float) -> None:
-        """Record that a job's `observed` completed tasks ran for `observed_s` seconds in total."""
+    def run_time_observed(self, job_id: str, observed_tasks: int, observed_s: float) -> None:
+        """Record that `observed_tasks` completed tasks of a job ran for `observed_s` s in total."""
 
-    def class_correction_learned(self, job_class: str, factor: float) -> None:
+    def correction_changed(self, job_class: str, factor: float) -> None:
         """Record the new factor on the run time estimates of a job class."""
 
     def machine_granted(self, machine_id: str) -> None:
         """Record that the machine was granted to the shard."""
 
-    def machine_occupancy_changed(self, machine_id: str, used: bool) -> None:
-        """Record that the flag for whether the machine may hold tasks is to change to `used`."""
+    def machine_occupancy_changed(self, machine_id: str, occupied: bool) -> None:
+        """Record that the flag for whether the machine may hold tasks is to become `occupied`."""
 
     def machine_released(self, machine_id: str) -> None:
         """Record that the machine has left the shard."""
@@ -55,15 +55,15 @@
 
     def task_stopped(self, run: TaskRun) -> None: ...
 
-    def task_gone(self, run: TaskRun, cause: str) -> None: ...
+    def task_ended(self, run: TaskRun, exit_reason: str) -> None: ...
 
-    def run_time_learned(self, job_id: str, observed: int, observed_s: float) -> None: ...
+    def run_time_observed(self, job_id: str, observed_tasks: int, observed_s: float) -> None: ...
 
-    def class_correction_learned(self, job_class: str, factor: float) -> None: ...
+    def correction_changed(self, job_class: str, factor: float) -> None: ...
 
     def machine_granted(self, machine_id: str) -> None: ...
 
-    def machine_occupancy_changed(self, machine_id: str, used: bool) -> None: ...
+    def machine_occupancy_changed(self, machine_id: str, occupied: bool) -> None: ...
 
     def machine_released(self, machine_id: str) -> None: ...
 
--- a/fallpulley/shards/fencing_prober.py
+++ b/fallpulley/shards/fencing_prober.py
@@ -24,10 +24,12 @@
 class FencingProber:
     """Probes machines in turn, so that unresponsive ones never keep others from being probed."""
 
-    def __init__(self, context: ControllerContext, shard: Shard, direct: DirectCommands) -> None:
+    def __init__(
+        self, context: ControllerContext, shard: Shard, direct_commands: DirectCommands
+    ) -> None:
         self.context = context
         self.shard = shard
-        self.direct = direct
+        self.direct_commands = direct_commands
         sockets = context.settings.facts.machine_limits.sockets
         self.max_in_flight = max(MIN_IN_FLIGHT, int(SOCKET_SHARE * sockets))
         self.in_flight = 0  # number of probes that have no outcome yet
@@ -88,4 +90,4 @@
             machine.fencing.probe_in_flight = False
             machine.fencing.probe_failures += status not in WORKER_STATUSES
 
-        self.direct.send(machine, [], on_status)
+        self.direct_commands.send(machine, [], on_status)
--- a/fallpulley/shards/run_times.py
+++ b/fallpulley/shards/run_times.py
@@ -30,7 +30,7 @@
     job.run_times.record(run_s)
     job_class = job.spec.job_class
     shard.corrections.record_run_time(job_class, job.spec.estimated_run_s, run_s)
-    shard.decisions.run_time_learned(
+    shard.decisions.run_time_observed(
         job.job_id, job.run_times.observed_tasks, job.run_times.observed_run_s
     )
-    shard.decisions.class_correction_learned(job_class, shard.corrections.factor(job_class))
+    shard.decisions.correction_changed(job_class, shard.corrections.factor(job_class))
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -55,7 +55,7 @@
         shard_id: str,
         record: ShardRecord,
         mod_revision: int,
-        fresh: bool,
+        never_owned: bool,
     ):
         """Create the state of a shard that was just acquired.
 
@@ -64,7 +64,7 @@
             shard_id: The shard.
             record: The record that made this controller the owner.
             mod_revision: The revision of that record.
-            fresh: Whether the shard had no owner before.
+            never_owned: Whether the shard had no owner before.
         """
         self.context = context
         self.shard_id = shard_id
@@ -74,7 +74,7 @@
         self.fencing_token = mod_revision  # the revision of the newest record
         self.acquired_revision = mod_revision
         self.acquired_at = context.now
-        self.acquired_by_failover = not fresh
+        self.acquired_by_failover = not never_owned
         # Whether the record is to be written again, because a newer revision is needed to raise the
         # machines' tokens or to issue attempt numbers.
         self.needs_new_revision = False
@@ -97,7 +97,7 @@
 
         # Jobs, and what is planned for them.
         self.jobs: dict[str, OpenJob] = {}
-        self.progress_loaded = fresh  # whether the jobs' stored progress has been read
+        self.progress_loaded = never_owned  # whether the jobs' stored progress has been read
         self.bookings: dict[str, list[Booking]] = {}  # tasks to start now, by machine_id
         self.needs_replan = True
         self.attempt_numbers = AttemptNumbers(mod_revision)
@@ -246,7 +246,7 @@
         if job is None or job.runs.get(run.task_index) is not run:
             return
         del job.runs[run.task_index]
-        self.decisions.task_gone(run, "gone")
+        self.decisions.task_ended(run, "gone")
         job.requeue(run.task_index)
         self.needs_replan = True
         if job.ended and not job.runs:
--- a/fallpulley/shards/task_changes.py
+++ b/fallpulley/shards/task_changes.py
@@ -70,7 +70,7 @@
             return
         if run is not None:
             job.runs.pop(run.task_index, None)
-            self.shard.decisions.task_gone(run, status.exit_reason or "")
+            self.shard.decisions.task_ended(run, status.exit_reason or "")
         if status.exit_reason is _DONE:
             if job.progress.record_completion(task.task_index, self.context.now):
                 log.debug("task completed task=%s machine=%s", status.task_id, machine.machine_id)
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -98,7 +98,7 @@
             context.now + RECONCILE_HEARTBEAT_INTERVALS * context.timing.heartbeat_interval_s
         )
         targets = self._targets()
-        for shard in self._access.owned.shards.values():
+        for shard in self._access.owned_shards.shards.values():
             if self._access.session.is_live() and not shard.unreconciled:
                 self._reconciler.reconcile(shard, targets)
         if self._access.is_leader:
--- a/fallpulley/shares/status.py
+++ b/fallpulley/shares/status.py
@@ -56,7 +56,7 @@
 
     def _shard_state(self, shard_id: str, targets: Targets, has_moves: bool) -> ShardState:
         record, _ = self._access.registry.shards[shard_id]
-        shard = self._access.owned.shards.get(shard_id)
+        shard = self._access.owned_shards.shards.get(shard_id)
         draining = None
         if shard is not None:
             draining = sum(machine.departure.draining for machine in shard.machines.values())
--- a/fallpulley/standby/decision_log.py
+++ b/fallpulley/standby/decision_log.py
@@ -60,18 +60,18 @@
         """Record that an attempt was commanded to stop."""
         self.append(TaskStopped(run.machine_id, run.task_id, run.attempt))
 
-    def task_gone(self, run: TaskRun, cause: str) -> None:
+    def task_ended(self, run: TaskRun, exit_reason: str) -> None:
         """Record that an attempt has exited or is confirmed gone.
 
-        `cause` is its exit reason, or `gone`.
+        `exit_reason` is the reason that it reported, or `gone`.
         """
-        self.append(TaskEnded(run.machine_id, run.task_id, run.attempt, cause))
+        self.append(TaskEnded(run.machine_id, run.task_id, run.attempt, exit_reason))
 
-    def run_time_learned(self, job_id: str, observed: int, observed_s: float) -> None:
+    def run_time_observed(self, job_id: str, observed_tasks: int, observed_s: float) -> None:
         """Record how many tasks of a job completed, and the sum of their run times in seconds."""
-        self.append(RunTimeObserved(job_id, observed, round(observed_s, RUN_TIME_DIGITS)))
+        self.append(RunTimeObserved(job_id, observed_tasks, round(observed_s, RUN_TIME_DIGITS)))
 
-    def class_correction_learned(self, job_class: str, factor: float) -> None:
+    def correction_changed(self, job_class: str, factor: float) -> None:
         """Record the new correction factor for run-time estimates of a job class."""
         self.append(CorrectionChanged(job_class, round(factor, CORRECTION_DIGITS)))
 
@@ -79,9 +79,9 @@
         """Record that a machine was granted to the shard."""
         self.append(MachineGranted(machine_id))
 
-    def machine_occupancy_changed(self, machine_id: str, used: bool) -> None:
+    def machine_occupancy_changed(self, machine_id: str, occupied: bool) -> None:
         """Record the new occupancy flag of a machine: whether it may hold tasks."""
-        self.append(OccupancyChanged(machine_id, used))
+        self.append(OccupancyChanged(machine_id, occupied))
 
     def machine_released(self, machine_id: str) -> None:
         """Record that a machine has left the shard."""
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -43,7 +43,7 @@
 ) -> None:
     world, uid = busy(pieces=4, seconds=60.0, expect_s=60.0)
     controller = world.controllers[world.holder()]
-    (held,) = controller.parts.owned.shards.values()
+    (held,) = controller.parts.owned_shards.shards.values()
     asked: list[str] = []
     estimate = held.estimate_run_s
     monkeypatch.setattr(
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -258,7 +258,7 @@
     world.until(lambda: service(world, holder).intents.has_writes_in_flight, 5.0)
     world.step()
     world.unanswered.clear()
-    (block,) = world.controllers[holder].parts.owned.shards
+    (block,) = world.controllers[holder].parts.owned_shards.shards
     other = next(label for label in world.controllers if label != holder)
     world.controllers[holder].parts.leadership.hand_off(block, other)
     world.until(lambda: world.holder() == other, 10.0)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -88,7 +88,7 @@
     assert (
         uid
         in world.controllers[old].parts.jobs.open_job_ids_by_shard[
-            next(iter(world.controllers[old].parts.owned.shards))
+            next(iter(world.controllers[old].parts.owned_shards.shards))
         ]
     )
     world.controllers[old].parts.job_sync.sync(uid)
@@ -105,7 +105,7 @@
     """One that waited for the next plan was answered without another look at the clock."""
     world, _ = busy(8, 60.0)
     controller = world.controllers[world.holder()]
-    (held,) = controller.parts.owned.shards.values()
+    (held,) = controller.parts.owned_shards.shards.values()
     (host, machine) = next(iter(held.machines.items()))
     answers: list[int] = []
 
@@ -113,7 +113,9 @@
         answers.append(status)
 
     controller.parts.heartbeats.deferred.waiting.append(
-        DeferredHeartbeat(ticket, controller.parts.owned.agents[held.shard_id], machine, True, 0.0)
+        DeferredHeartbeat(
+            ticket, controller.parts.owned_shards.agents[held.shard_id], machine, True, 0.0
+        )
     )
     controller.parts.watch.fresh_at = (
         controller.parts.context.now - controller.parts.context.timing.response_window_s
@@ -231,7 +233,7 @@
     world.until(lambda: marked(world, host), 5.0)
     node = world.holder()
     controller = world.controllers[node]
-    writer, (label,) = controller.parts.writer, controller.parts.owned.shards
+    writer, (label,) = controller.parts.writer, controller.parts.owned_shards.shards
     record, _ = controller.parts.registry.shards[label]
     assert record.machines[host].occupied
     writer.set_occupied(label, host, False)
@@ -287,7 +289,7 @@
     assert {found[0] for found in burst} == {201, 503} and world.state.too_many == 0
     world.run(15.0)
     for controller in world.controllers.values():
-        assert all(not held.jobs for held in controller.parts.owned.shards.values())
+        assert all(not held.jobs for held in controller.parts.owned_shards.shards.values())
         assert all(known.record is None for known in controller.parts.jobs.entries.values())
 
 
@@ -410,7 +412,7 @@
     world, uid = busy(6, 15.0)
     first = world.holder()
     leadership = world.controllers[first].parts.leadership
-    (label,) = world.controllers[first].parts.owned.shards
+    (label,) = world.controllers[first].parts.owned_shards.shards
     leadership.hand_off(label, others(first)[0])
     world.until(lambda: world.holder() != first, 5.0)
     second = world.holder()
@@ -439,7 +441,7 @@
     world.crash(old)
     world.until(lambda: world.holder() != old, 10.0)
     world.run(0.5)
-    held = next(iter(world.controllers[world.holder()].parts.owned.shards.values()))
+    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
     world.until(lambda: bool(held.machines[dead].runs), 5.0)
     assert not held.machines[dead].heartbeat.online
     world.workers[dead].hung = True
@@ -495,12 +497,12 @@
     world.crash(old)
     world.until(lambda: world.holder() != old, 10.0)
     world.run(4.0)
-    agent = next(iter(world.controllers[world.holder()].parts.owned.agents.values()))
+    agent = next(iter(world.controllers[world.holder()].parts.owned_shards.agents.values()))
     held = agent.shard
     before = (held.machines[host].heartbeat.agent_epoch, held.machines[host].heartbeat.sequence)
     assert replay(world, world.holder(), body) == [503]
     # As an answer of `/do` that was held up it is no news either.
-    agent.direct.on_response(held.machines[host], Response(200, body, world.now))
+    agent.direct_commands.on_response(held.machines[host], Response(200, body, world.now))
     assert (
         held.machines[host].heartbeat.agent_epoch,
         held.machines[host].heartbeat.sequence,
@@ -528,7 +530,7 @@
     world, uid = busy(4, 6.0)
     host = next(iter(world.workers))
     worker = world.workers[host]
-    held = next(iter(world.controllers[world.holder()].parts.owned.shards.values()))
+    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
     run = next(iter(held.machines[host].runs.values()))
     late = {
         "baton": held.machines[host].fencing.token,
@@ -547,7 +549,7 @@
 def test_a_check_in_overtaken_by_an_answer_of_do_still_gets_its_stops() -> None:
     """Its reply renews the lease; without the stops, a cancelled task could go on with it."""
     world, uid = busy(4, 300.0)
-    held = next(iter(world.controllers[world.holder()].parts.owned.shards.values()))
+    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
     for host, machine in held.machines.items():
         machine.heartbeat.sequence += (
             60  # as if newer answers of `/do` had come before all its reports
@@ -683,7 +685,7 @@
 def test_a_machine_whose_move_was_called_off_is_used_again() -> None:
     world = ready(2)
     controller = world.controllers[world.holder()]
-    (held,) = controller.parts.owned.shards.values()
+    (held,) = controller.parts.owned_shards.shards.values()
     machine = next(iter(held.machines.values()))
     machine.departure.leaving_shard = True
     world.run(1.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -60,7 +60,7 @@
     held = [
         h
         for controller in world.controllers.values()
-        for h in controller.parts.owned.shards.values()
+        for h in controller.parts.owned_shards.shards.values()
     ]
     return bool(held) and all(not block.unreconciled and block.progress_loaded for block in held)
 
@@ -84,7 +84,7 @@
     assert changed.count(key) == 1 and not any("live/machines/" in name for name in changed)
     world.until(lambda: confirmed(world), 2.5 * REPORT_S)
     assert len(world.running()) == len(world.starts_seen) == 2 * MACHINES
-    (held,) = world.controllers[world.holder()].parts.owned.shards.values()
+    (held,) = world.controllers[world.holder()].parts.owned_shards.shards.values()
     assert sum(1 for _ in held.runs()) == 2 * MACHINES
 
 
@@ -117,7 +117,7 @@
     while world.now < until:
         world.step()
         for controller in world.controllers.values():
-            for held in controller.parts.owned.shards.values():
+            for held in controller.parts.owned_shards.shards.values():
                 asked |= {h for h, m in held.machines.items() if m.fencing.next_probe_at > 0}
                 whole_turn = whole_turn or set(lost) <= asked
     assert whole_turn
@@ -238,9 +238,12 @@
 
 def test_fences_take_their_part_of_the_sockets() -> None:
     world = large()
-    world.until(lambda: bool(world.controllers[world.holder()].parts.owned.shards), 5.0)
-    (agent,) = world.controllers[world.holder()].parts.owned.agents.values()
-    assert isinstance(agent.fencing, FencingProber) and agent.fencing.max_in_flight == 240
+    world.until(lambda: bool(world.controllers[world.holder()].parts.owned_shards.shards), 5.0)
+    (agent,) = world.controllers[world.holder()].parts.owned_shards.agents.values()
+    assert (
+        isinstance(agent.fencing_prober, FencingProber)
+        and agent.fencing_prober.max_in_flight == 240
+    )
 
 
 def test_blocks_are_shared_out_many_machines_at_a_time() -> None:
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -271,7 +271,7 @@
     world.until(lambda: len(world.running(long)) == 5, 20.0)
     world.run(1.5)
     old = holder_of(world)
-    held = next(iter(old.parts.owned.shards.values()))
+    held = next(iter(old.parts.owned_shards.shards.values()))
     runs = {run.task_id: run.attempt for run in held.runs()}
     for label in others(world.holder()):
         replica = replica_of(world, label)
@@ -279,7 +279,7 @@
     world.crash(world.holder())
     world.until(lambda: world.holder() in world.controllers, 10.0)
     world.run(0.3)
-    new = next(iter(holder_of(world).parts.owned.shards.values()))
+    new = next(iter(holder_of(world).parts.owned_shards.shards.values()))
     assert new.corrections.factor("work") == pytest.approx(held.corrections.factor("work"), 1e-3)
     assert new.corrections.factor("work") > 1.0
     assert all("other" in new.machines[run.machine_id].images.cached for run in held.runs())
@@ -304,8 +304,8 @@
         world.crash(old)
     world.until(lambda: world.holder() != old, FIVE_S)
     held_at = world.now
-    world.until(lambda: bool(holder_of(world).parts.owned.shards), 1.0)
-    new = next(iter(holder_of(world).parts.owned.shards.values()))
+    world.until(lambda: bool(holder_of(world).parts.owned_shards.shards), 1.0)
+    new = next(iter(holder_of(world).parts.owned_shards.shards.values()))
     world.until(lambda: not new.unreconciled, FIVE_S - (held_at - silent_at))
     world.until(lambda: any(at > held_at for at, _, _ in world.starts_seen[before:]), 10.0)
     assert world.now - silent_at < FIVE_S + (REPORT_TIMEOUT_S - 2.0 if frozen else 0.0)
@@ -334,7 +334,10 @@
     third = next(label for label in others(old) if label != world.holder())
     world.paused.discard(old)
     world.run(3.0)
-    assert "owner replaced shard=" in caplog.text and not world.controllers[old].parts.owned.shards
+    assert (
+        "owner replaced shard=" in caplog.text
+        and not world.controllers[old].parts.owned_shards.shards
+    )
     followed = next(iter(standby_of(world.controllers[third]).follower.shards.values()))
     assert followed.owner == world.holder() and followed.replica is not None
     assert "vm-000001" in followed.replica.state.machines
