--- a/fallpulley/context.py
+++ b/fallpulley/context.py
@@ -1,4 +1,4 @@
-"""The context that all parts of a controller share: settings, clock, outbox and state client."""
+"""The context that a controller's components share: settings, clock, outbox and state client."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControllerContext:
-    """The context shared by all parts of one controller process.
+    """The context shared by all components of one controller process.
 
     `now` and `wall_time` are set once, at the start of each step.
     """
--- a/fallpulley/controller/__init__.py
+++ b/fallpulley/controller/__init__.py
@@ -1,4 +1,4 @@
-"""The controller, its parts, and how commands and changed records reach them."""
+"""The controller, its components, and how commands and changed records reach them."""
 
 from fallpulley.controller.controller import Controller
 
--- a/fallpulley/controller/controller.py
+++ b/fallpulley/controller/controller.py
@@ -8,7 +8,7 @@
 import logging
 from collections.abc import Callable
 
-from fallpulley.controller.wiring import build_parts
+from fallpulley.controller.wiring import build_components
 from fallpulley.effects import (
     CallCompleted,
     Command,
@@ -32,27 +32,27 @@
     """
 
     def __init__(self, settings: Settings, incarnation: str, clock: Callable[[], float]) -> None:
-        """Build all parts of the controller.
+        """Build all components of the controller.
 
         `incarnation` differs between any two processes; `clock` is monotonic, in seconds.
         """
-        self.parts = build_parts(settings, incarnation, clock)
+        self.components = build_components(settings, incarnation, clock)
 
     def step(self, batch: list[Command], now: float, wall_time: float) -> list[Effect]:
         """Handle a batch of commands, do the work that is due, and return the effects.
 
         `now` is in seconds of the monotonic clock, `wall_time` in seconds since the epoch.
         """
-        context = self.parts.context
+        context = self.components.context
         context.now, context.wall_time = now, wall_time
-        self.parts.health.on_step()
+        self.components.health.on_step()
         for command in batch:
             self._handle_safely(command)
         for action in (
-            self.parts.cancellation_announcer.announce,
-            self.parts.periodic.run,
-            self.parts.periodic.plan,
-            self.parts.heartbeats.respond_to_deferred,
+            self.components.cancellation_announcer.announce,
+            self.components.periodic.run,
+            self.components.periodic.plan,
+            self.components.heartbeats.respond_to_deferred,
         ):
             try:
                 action()
@@ -70,7 +70,7 @@
             # One faulty message must not end the process or lose the rest of the batch.
             log.exception("command failed command=%s", type(command).__name__)
             if isinstance(command, Request | OperatorRequest):
-                self.parts.context.respond(
+                self.components.context.respond(
                     command.pending_response, 503, INTERNAL_ERROR, RETRY_AFTER_SECONDS
                 )
 
@@ -78,8 +78,8 @@
         if isinstance(command, CallCompleted):
             command.on_response(command.response)
         elif isinstance(command, PeerMessage):
-            self.parts.peer_messages.handle(command.body)
+            self.components.peer_messages.handle(command.body)
         elif isinstance(command, OperatorRequest):
-            self.parts.router.handle_operator_request(command)
+            self.components.router.handle_operator_request(command)
         else:
-            self.parts.router.handle(command)
+            self.components.router.handle(command)
--- a/fallpulley/controller/record_dispatch.py
+++ b/fallpulley/controller/record_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of changed records to the parts of the controller that use them."""
+"""Dispatch of changed records to the components of the controller that use them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RecordDispatcher:
-    """Passes each changed record to the parts that use it.
+    """Passes each changed record to the components that use it.
 
     The watch cache calls it for every key, in the order of the state service's revisions.
     """
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -1,4 +1,4 @@
-"""Construction of a controller from its parts and the extensions that are enabled."""
+"""Construction of a controller from its components and the extensions that are enabled."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 MIN_WATCH_INTERVAL_SECONDS = 0.05
 
 
-class ControllerParts(msgspec.Struct, frozen=True):
-    """The parts of one controller, each constructed with the other parts that it uses."""
+class ControllerComponents(msgspec.Struct, frozen=True):
+    """The components of one controller, each constructed with the others that it uses."""
 
     context: ControllerContext
     watch: WatchCache
@@ -67,10 +67,10 @@
     periodic: PeriodicTasks
 
 
-def build_parts(
+def build_components(
     settings: Settings, incarnation: str, clock: Callable[[], float]
-) -> ControllerParts:
-    """Build all parts of a controller, before its first step."""
+) -> ControllerComponents:
+    """Build all components of a controller, before its first step."""
     context = ControllerContext(settings, incarnation, clock)
     watch = _build_watch(context)
     registry = Registry()
@@ -120,7 +120,7 @@
         owned_shards,
         extensions,
     )
-    parts = ControllerParts(
+    components = ControllerComponents(
         context=context,
         watch=watch,
         registry=registry,
@@ -143,8 +143,8 @@
         router=Router(context, health, jobs, heartbeats, extensions),
         periodic=periodic,
     )
-    _add_extensions(parts)
-    return parts
+    _add_extensions(components)
+    return components
 
 
 def _build_watch(context: ControllerContext) -> WatchCache:
@@ -157,26 +157,28 @@
     )
 
 
-def _add_extensions(parts: ControllerParts) -> None:
+def _add_extensions(components: ControllerComponents) -> None:
     """Add the extensions that the settings enable; the modules of others are not imported."""
-    operators = parts.context.settings.operators
+    operators = components.context.settings.operators
     access = ControllerAccess(
-        parts.context,
-        parts.watch,
-        parts.registry,
-        parts.session,
-        parts.leadership,
-        parts.owned_shards,
+        components.context,
+        components.watch,
+        components.registry,
+        components.session,
+        components.leadership,
+        components.owned_shards,
     )
     if operators.standby.enabled:
         from fallpulley.standby.service import Standby
 
-        parts.extensions.add(Standby(parts.context, parts.registry, parts.peers.send))
+        components.extensions.add(
+            Standby(components.context, components.registry, components.peers.send)
+        )
     if operators.shares.enabled:
         from fallpulley.shares.service import SharesService
 
-        parts.extensions.add(SharesService(access, parts.writer, parts.jobs))
+        components.extensions.add(SharesService(access, components.writer, components.jobs))
     if operators.duties.enabled:
         from fallpulley.duties.service import DutiesService
 
-        parts.extensions.add(DutiesService(access, parts.provider))
+        components.extensions.add(DutiesService(access, components.provider))
--- a/fallpulley/controller_access.py
+++ b/fallpulley/controller_access.py
@@ -17,7 +17,7 @@
 
 
 class ControllerAccess(msgspec.Struct, frozen=True):
-    """The parts of the controller that extensions read, and the way they write their records."""
+    """The components that extensions read, and the way they write their records."""
 
     context: ControllerContext
     watch: WatchCache
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -43,7 +43,7 @@
 ) -> None:
     world, uid = busy(pieces=4, seconds=60.0, expect_s=60.0)
     controller = world.controllers[world.holder()]
-    (held,) = controller.parts.owned_shards.shards.values()
+    (held,) = controller.components.owned_shards.shards.values()
     asked: list[str] = []
     estimate = held.estimate_run_s
     monkeypatch.setattr(
@@ -51,7 +51,7 @@
     )
     for machine in held.machines.values():
         machine.placement_snapshot = None
-    slots = machine_snapshots(held, controller.parts.registry.machine_types, world.now)
+    slots = machine_snapshots(held, controller.components.registry.machine_types, world.now)
     assert sum(len(slot.running) for slot in slots) == 4
     assert asked == [uid]
 
--- a/tests/test_day_end.py
+++ b/tests/test_day_end.py
@@ -58,14 +58,14 @@
     world = ready()
     uid = submit(world, 1)
     holder = world.controllers[world.holder()]
-    real = holder.parts.jobs.on_record
+    real = holder.components.jobs.on_record
 
     def failing(job: str, value: bytes | None, stamp: int) -> object:
         if job == "job-000002":
             raise RuntimeError("made to fail")
         return real(job, value, stamp)
 
-    holder.parts.jobs.on_record = failing  # type: ignore[method-assign,assignment]
+    holder.components.jobs.on_record = failing  # type: ignore[method-assign,assignment]
     submit(world, 2, others(world.holder())[0])
     third = submit(world, 3, others(world.holder())[0])
     world.until(lambda: world.stage(uid) == world.stage(third) == "done", 60.0)
@@ -136,7 +136,7 @@
     uids = [submit(world, n, pieces=4) for n in range(3)]
     world.until(lambda: all(world.stage(uid) == "done" for uid in uids), 90.0)
     assert {host for _, _, host in world.starts_seen} == {good}
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     missed = held.attempt_numbers.issued - len(world.starts_seen)
     assert missed <= 2  # one reply's worth of orders, never another
     for n in range(10, 30):
@@ -169,7 +169,7 @@
     world.crash(old)
     world.until(lambda: world.holder() != old, 10.0)
     world.run(0.5)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     assert deaf in held.unreconciled
     # It comes back to the holder every few seconds, much sooner than its lease is over.
     worker = world.workers[deaf]
@@ -206,7 +206,7 @@
     for _ in range(12):
         world.run(1.0)
         assert replay(world, world.holder(), running) == [503]
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     # Its lease was over in spite of the copies, and its tasks have room elsewhere.
     assert dead not in held.machines or not held.machines[dead].heartbeat.online
     world.until(lambda: world.stage(uid) == "done", 90.0)
@@ -227,7 +227,7 @@
     world.crash(old)
     world.until(lambda: world.holder() != old, 10.0)
     world.run(0.5)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     for host, body in copies.items():
         replay(world, world.holder(), body)
         machine = held.machines[host]
@@ -261,7 +261,7 @@
 def test_a_late_beat_makes_no_controller_think_that_it_was_left_behind() -> None:
     world = ready()
     mine, peer = LABELS[0], LABELS[1]
-    taken = world.controllers[mine].parts.peers
+    taken = world.controllers[mine].components.peers
     body: list[bytes] = []
     real = taken.receive
     taken.receive = lambda data: (body.append(data), real(data))[1]  # type: ignore[method-assign]
@@ -374,18 +374,18 @@
     world, _ = busy(8, 60.0)
     controller = world.controllers[world.holder()]
     ticks = iter(range(10**6))
-    controller.parts.context.clock = lambda: next(ticks) * took_s
-    (held,) = controller.parts.owned_shards.shards.values()
+    controller.components.context.clock = lambda: next(ticks) * took_s
+    (held,) = controller.components.owned_shards.shards.values()
     planned = -1.0
     for _ in range(40):
         held.needs_replan = True
-        before = controller.parts.planner.next_plan_at
+        before = controller.components.planner.next_plan_at
         world.step()
-        if controller.parts.planner.next_plan_at != before:
+        if controller.components.planner.next_plan_at != before:
             planned = world.now
             break
     assert planned > 0
-    assert least_s <= controller.parts.planner.next_plan_at - planned <= most_s
+    assert least_s <= controller.components.planner.next_plan_at - planned <= most_s
 
 
 def test_the_last_controller_takes_over_a_fleet_half_as_large_again() -> None:
@@ -402,7 +402,7 @@
     (last,) = world.controllers
     world.until(lambda: world.holder() == last, 10.0)
     world.run(10.0)
-    held = world.controllers[last].parts.owned_shards.shards.values()
+    held = world.controllers[last].components.owned_shards.shards.values()
     assert sum(len(list(block.runs())) for block in held) == 1880
     assert len(world.starts_seen) == 1880
     assert {worker.shift for worker in world.workers.values()} == {1}
@@ -424,7 +424,7 @@
     begun = world.now
     world.until(lambda: world.holder() != old, 10.0)
     world.run(0.5)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     world.until(lambda: not held.unreconciled, 8.0)
     assert world.now - begun < 2.0 + 0.25 * 8.0 + 4.0
     assert set(dead) <= set(world.released)
@@ -435,7 +435,7 @@
     """Hundreds of machines report every few seconds; work follows what changed."""
     world, uid = busy(4, 60.0, expect_s=60.0)
     world.run(3.0)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     pictures = {host: machine.placement_snapshot for host, machine in held.machines.items()}
     ticks = {host: machine.heartbeat.sequence for host, machine in held.machines.items()}
     token = held.fencing_token
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -88,7 +88,7 @@
 
 def accounted(world: World) -> bool:
     """Every machine that there is stands in the record of a block."""
-    registry = world.controllers[leader(world)].parts.registry
+    registry = world.controllers[leader(world)].components.registry
     return all(host in registry.shard_of_machine for host in world.workers)
 
 
@@ -143,9 +143,9 @@
 
 def is_returning(world: World, label: str, host: str) -> bool:
     """The controller has just asked the cloud to take the machine back."""
-    provider = world.controllers[label].parts.provider
+    provider = world.controllers[label].components.provider
     asked = host in provider.release_requested and provider.releases.next_attempt_at > world.now
-    if world.controllers[label].parts.extensions.find(DutiesService) is not None:
+    if world.controllers[label].components.extensions.find(DutiesService) is not None:
         return asked and any("returning" in key for key in open_intents(world))
     return asked
 
@@ -196,7 +196,7 @@
     submit(world, 1, pieces=8)
     world.until(lambda: bool(open_intents(world)), 60.0)
     old = leader(world)
-    boot = world.controllers[old].parts.context.incarnation
+    boot = world.controllers[old].components.context.incarnation
     world.paused.add(old)
     world.until(lambda: leader(world) != old if "live/leader" in world.state.data else False, 20.0)
     world.run(5.0)
@@ -253,14 +253,16 @@
     world.crash(world.holder())
     world.until(lambda: world.holder() in world.controllers, 10.0)
     holder = world.holder()
-    world.until(lambda: quiet in world.controllers[holder].parts.provider.release_requested, 20.0)
+    world.until(
+        lambda: quiet in world.controllers[holder].components.provider.release_requested, 20.0
+    )
     world.unanswered[holder] = 8.0
     world.until(lambda: service(world, holder).intents.has_writes_in_flight, 5.0)
     world.step()
     world.unanswered.clear()
-    (block,) = world.controllers[holder].parts.owned_shards.shards
+    (block,) = world.controllers[holder].components.owned_shards.shards
     other = next(label for label in world.controllers if label != holder)
-    world.controllers[holder].parts.leadership.hand_off(block, other)
+    world.controllers[holder].components.leadership.hand_off(block, other)
     world.until(lambda: world.holder() == other, 10.0)
     world.no_direct.clear()
     world.mute.clear()
@@ -278,7 +280,7 @@
 
 
 def service(world: World, label: str) -> DutiesService:
-    found = world.controllers[label].parts.extensions.find(DutiesService)
+    found = world.controllers[label].components.extensions.find(DutiesService)
     assert found is not None
     return found
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -87,16 +87,16 @@
     before = len(world.starts_seen)
     assert (
         uid
-        in world.controllers[old].parts.jobs.open_job_ids_by_shard[
-            next(iter(world.controllers[old].parts.owned_shards.shards))
+        in world.controllers[old].components.jobs.open_job_ids_by_shard[
+            next(iter(world.controllers[old].components.owned_shards.shards))
         ]
     )
-    world.controllers[old].parts.job_sync.sync(uid)
+    world.controllers[old].components.job_sync.sync(uid)
     world.run(4.0)
     assert len(world.starts_seen) == before
     world.refused.clear()
     world.run(5.0)
-    assert not world.controllers[old].parts.job_sync._cancelled_before_record and stages(
+    assert not world.controllers[old].components.job_sync._cancelled_before_record and stages(
         world, uid
     ) == {"withdrawn"}
 
@@ -105,20 +105,20 @@
     """One that waited for the next plan was answered without another look at the clock."""
     world, _ = busy(8, 60.0)
     controller = world.controllers[world.holder()]
-    (held,) = controller.parts.owned_shards.shards.values()
+    (held,) = controller.components.owned_shards.shards.values()
     (host, machine) = next(iter(held.machines.items()))
     answers: list[int] = []
 
     def ticket(status: int, body: bytes, retry_after: float | None) -> None:
         answers.append(status)
 
-    controller.parts.heartbeats.deferred.waiting.append(
+    controller.components.heartbeats.deferred.waiting.append(
         DeferredHeartbeat(
-            ticket, controller.parts.owned_shards.agents[held.shard_id], machine, True, 0.0
+            ticket, controller.components.owned_shards.agents[held.shard_id], machine, True, 0.0
         )
     )
-    controller.parts.watch.fresh_at = (
-        controller.parts.context.now - controller.parts.context.timing.response_window_s
+    controller.components.watch.fresh_at = (
+        controller.components.context.now - controller.components.context.timing.response_window_s
     )
     world.step()
     assert answers == [503] and host in held.machines
@@ -233,12 +233,12 @@
     world.until(lambda: marked(world, host), 5.0)
     node = world.holder()
     controller = world.controllers[node]
-    writer, (label,) = controller.parts.writer, controller.parts.owned_shards.shards
-    record, _ = controller.parts.registry.shards[label]
+    writer, (label,) = controller.components.writer, controller.components.owned_shards.shards
+    record, _ = controller.components.registry.shards[label]
     assert record.machines[host].occupied
     writer.set_occupied(label, host, False)
     world.unanswered[node] = 0.0  # carried out, unanswered, and not seen here for a while
-    controller.parts.watch.subscribe(lambda key, value, mod_revision: None)
+    controller.components.watch.subscribe(lambda key, value, mod_revision: None)
     world.until(lambda: not marked(world, host), 5.0)
     world.run(2.0)
     world.unanswered.clear()
@@ -289,8 +289,8 @@
     assert {found[0] for found in burst} == {201, 503} and world.state.too_many == 0
     world.run(15.0)
     for controller in world.controllers.values():
-        assert all(not held.jobs for held in controller.parts.owned_shards.shards.values())
-        assert all(known.record is None for known in controller.parts.jobs.entries.values())
+        assert all(not held.jobs for held in controller.components.owned_shards.shards.values())
+        assert all(known.record is None for known in controller.components.jobs.entries.values())
 
 
 # -- limits, cancels and a change of leader --------------------------------------------------
@@ -411,13 +411,13 @@
 def test_hand_over_and_back_then_all_end_and_one_returns_within_a_second() -> None:
     world, uid = busy(6, 15.0)
     first = world.holder()
-    leadership = world.controllers[first].parts.leadership
-    (label,) = world.controllers[first].parts.owned_shards.shards
+    leadership = world.controllers[first].components.leadership
+    (label,) = world.controllers[first].components.owned_shards.shards
     leadership.hand_off(label, others(first)[0])
     world.until(lambda: world.holder() != first, 5.0)
     second = world.holder()
     world.run(0.5)
-    world.controllers[second].parts.leadership.hand_off(label, first)
+    world.controllers[second].components.leadership.hand_off(label, first)
     world.until(lambda: world.holder() == first, 5.0)
     world.crash(*LABELS)
     world.run(0.5)
@@ -441,7 +441,7 @@
     world.crash(old)
     world.until(lambda: world.holder() != old, 10.0)
     world.run(0.5)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     world.until(lambda: bool(held.machines[dead].runs), 5.0)
     assert not held.machines[dead].heartbeat.online
     world.workers[dead].hung = True
@@ -497,7 +497,7 @@
     world.crash(old)
     world.until(lambda: world.holder() != old, 10.0)
     world.run(4.0)
-    agent = next(iter(world.controllers[world.holder()].parts.owned_shards.agents.values()))
+    agent = next(iter(world.controllers[world.holder()].components.owned_shards.agents.values()))
     held = agent.shard
     before = (held.machines[host].heartbeat.agent_epoch, held.machines[host].heartbeat.sequence)
     assert replay(world, world.holder(), body) == [503]
@@ -530,7 +530,7 @@
     world, uid = busy(4, 6.0)
     host = next(iter(world.workers))
     worker = world.workers[host]
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     run = next(iter(held.machines[host].runs.values()))
     late = {
         "baton": held.machines[host].fencing.token,
@@ -549,7 +549,7 @@
 def test_a_check_in_overtaken_by_an_answer_of_do_still_gets_its_stops() -> None:
     """Its reply renews the lease; without the stops, a cancelled task could go on with it."""
     world, uid = busy(4, 300.0)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     for host, machine in held.machines.items():
         machine.heartbeat.sequence += (
             60  # as if newer answers of `/do` had come before all its reports
@@ -685,7 +685,7 @@
 def test_a_machine_whose_move_was_called_off_is_used_again() -> None:
     world = ready(2)
     controller = world.controllers[world.holder()]
-    (held,) = controller.parts.owned_shards.shards.values()
+    (held,) = controller.components.owned_shards.shards.values()
     machine = next(iter(held.machines.values()))
     machine.departure.leaving_shard = True
     world.run(1.0)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -152,7 +152,7 @@
     end = world.now
     world.crash(world.holder())
     world.run(8.0)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     if last in held.jobs:
         assert abs(held.jobs[last].ready_since_ms / 1000 - 1e6 - end) < 1.0
     else:
@@ -169,7 +169,7 @@
     middle = submit(world, 3, awaits=[first], rank="best_effort", expect_s=7.0)
     submit(world, 4, awaits=[middle], rank="high", expect_s=5.0)
     world.run(1.0)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     assert held.jobs[first].priority_level == held.jobs[middle].priority_level == 2
     assert held.jobs[first].critical_path_s == pytest.approx(7.0 + 5.0 + 2 * 0.5)
     world.until(lambda: started(world, first) > 0, 30.0)
@@ -240,7 +240,7 @@
 def test_jobs_without_pipelines_cost_nothing_of_them() -> None:
     world = pipeline_world()
     submit(world, 1)
-    jobs = world.controllers["node-0"].parts.jobs
+    jobs = world.controllers["node-0"].components.jobs
     assert not jobs.pipelines.nodes and not jobs.pipelines.dependents
     assert "awaits" not in json.dumps(world.state.data["live/job/job-000001"][0])
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -60,7 +60,7 @@
     held = [
         h
         for controller in world.controllers.values()
-        for h in controller.parts.owned_shards.shards.values()
+        for h in controller.components.owned_shards.shards.values()
     ]
     return bool(held) and all(not block.unreconciled and block.progress_loaded for block in held)
 
@@ -84,7 +84,7 @@
     assert changed.count(key) == 1 and not any("live/machines/" in name for name in changed)
     world.until(lambda: confirmed(world), 2.5 * REPORT_S)
     assert len(world.running()) == len(world.starts_seen) == 2 * MACHINES
-    (held,) = world.controllers[world.holder()].parts.owned_shards.shards.values()
+    (held,) = world.controllers[world.holder()].components.owned_shards.shards.values()
     assert sum(1 for _ in held.runs()) == 2 * MACHINES
 
 
@@ -117,7 +117,7 @@
     while world.now < until:
         world.step()
         for controller in world.controllers.values():
-            for held in controller.parts.owned_shards.shards.values():
+            for held in controller.components.owned_shards.shards.values():
                 asked |= {h for h, m in held.machines.items() if m.fencing.next_probe_at > 0}
                 whole_turn = whole_turn or set(lost) <= asked
     assert whole_turn
@@ -137,7 +137,8 @@
     world.boot("node-2")
     world.until(lambda: "live/format" in world.state.data, 20.0)
     world.until(
-        lambda: all(c.parts.context.record_format.paged for c in world.controllers.values()), 5.0
+        lambda: all(c.components.context.record_format.paged for c in world.controllers.values()),
+        5.0,
     )
     world.run(10.0)
     world.state.value_bytes, world.state.txn_ops = 2048, 4
@@ -158,10 +159,10 @@
         world.machine("a", spot=True)
     for worker in world.workers.values():
         worker.hung = True
-    leader = next(c for c in world.controllers.values() if c.parts.leadership.term is not None)
-    world.until(lambda: len(leader.parts.provider.listed_machines) == MACHINES, 90.0)
+    leader = next(c for c in world.controllers.values() if c.components.leadership.term is not None)
+    world.until(lambda: len(leader.components.provider.listed_machines) == MACHINES, 90.0)
     assert world.listings >= MACHINES // 500
-    world.until(lambda: len(leader.parts.registry.shard_of_machine) == MACHINES, 30.0)
+    world.until(lambda: len(leader.components.registry.shard_of_machine) == MACHINES, 30.0)
 
 
 # -- parts by themselves ---------------------------------------------------------------------
@@ -213,21 +214,24 @@
     world = World(2)
     world.run(3.0)
     controller = world.controllers["node-1"]
-    assert controller.parts.watch.ready
+    assert controller.components.watch.ready
     (call,) = [c for c in pending_watches(world, "node-1")][:1]
     call.on_response(Response(RESPONSE_TOO_LONG, b"", world.now))
-    assert not controller.parts.watch.loaded
-    world.until(lambda: controller.parts.watch.ready, 5.0)
-    assert controller.parts.watch.revision == world.state.ledger
+    assert not controller.components.watch.loaded
+    world.until(lambda: controller.components.watch.ready, 5.0)
+    assert controller.components.watch.revision == world.state.ledger
 
 
 def pending_watches(world: World, label: str) -> list[Any]:
     """A look at the changes that this controller is about to send."""
     controller = world.controllers[label]
-    controller.parts.watch._watching = False
-    controller.parts.watch._start_watch(world.now)
-    controller.parts.context.state_client.send_queued(world.now)
-    effects, controller.parts.context.outbox[:] = list(controller.parts.context.outbox), []
+    controller.components.watch._watching = False
+    controller.components.watch._start_watch(world.now)
+    controller.components.context.state_client.send_queued(world.now)
+    effects, controller.components.context.outbox[:] = (
+        list(controller.components.context.outbox),
+        [],
+    )
     return [e for e in effects if getattr(e, "address", "") == STATE]
 
 
@@ -238,8 +242,8 @@
 
 def test_fences_take_their_part_of_the_sockets() -> None:
     world = large()
-    world.until(lambda: bool(world.controllers[world.holder()].parts.owned_shards.shards), 5.0)
-    (agent,) = world.controllers[world.holder()].parts.owned_shards.agents.values()
+    world.until(lambda: bool(world.controllers[world.holder()].components.owned_shards.shards), 5.0)
+    (agent,) = world.controllers[world.holder()].components.owned_shards.agents.values()
     assert (
         isinstance(agent.fencing_prober, FencingProber)
         and agent.fencing_prober.max_in_flight == 240
@@ -253,7 +257,7 @@
     world.capacity = 400
 
     def sizes() -> list[int]:
-        registry = next(iter(world.controllers.values())).parts.registry
+        registry = next(iter(world.controllers.values())).components.registry
         return sorted(len(record.machines) for record, _ in registry.shards.values())
 
     world.until(lambda: len(sizes()) == 2 and sum(sizes()) == 400, 20.0)
@@ -264,7 +268,7 @@
 def test_machines_with_the_longest_names_are_released_within_the_smallest_values() -> None:
     world = World(2, state=STATE_FACTS | {"next": SMALLEST})
     world.run(5.0)
-    record_format = world.controllers[world.holder()].parts.context.record_format
+    record_format = world.controllers[world.holder()].components.context.record_format
     hosts = {f"{number:0190}" for number in range(100)}
     out = select_releasable(hosts, record_format)
     (change,) = release_changes(out, record_format)
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -54,7 +54,7 @@
 
 
 def standby_of(controller: Controller) -> Standby:
-    standby = controller.parts.extensions.find(Standby)
+    standby = controller.components.extensions.find(Standby)
     assert standby is not None
     return standby
 
@@ -271,7 +271,7 @@
     world.until(lambda: len(world.running(long)) == 5, 20.0)
     world.run(1.5)
     old = holder_of(world)
-    held = next(iter(old.parts.owned_shards.shards.values()))
+    held = next(iter(old.components.owned_shards.shards.values()))
     runs = {run.task_id: run.attempt for run in held.runs()}
     for label in others(world.holder()):
         replica = replica_of(world, label)
@@ -279,7 +279,7 @@
     world.crash(world.holder())
     world.until(lambda: world.holder() in world.controllers, 10.0)
     world.run(0.3)
-    new = next(iter(holder_of(world).parts.owned_shards.shards.values()))
+    new = next(iter(holder_of(world).components.owned_shards.shards.values()))
     assert new.corrections.factor("work") == pytest.approx(held.corrections.factor("work"), 1e-3)
     assert new.corrections.factor("work") > 1.0
     assert all("other" in new.machines[run.machine_id].images.cached for run in held.runs())
@@ -304,8 +304,8 @@
         world.crash(old)
     world.until(lambda: world.holder() != old, FIVE_S)
     held_at = world.now
-    world.until(lambda: bool(holder_of(world).parts.owned_shards.shards), 1.0)
-    new = next(iter(holder_of(world).parts.owned_shards.shards.values()))
+    world.until(lambda: bool(holder_of(world).components.owned_shards.shards), 1.0)
+    new = next(iter(holder_of(world).components.owned_shards.shards.values()))
     world.until(lambda: not new.unreconciled, FIVE_S - (held_at - silent_at))
     world.until(lambda: any(at > held_at for at, _, _ in world.starts_seen[before:]), 10.0)
     assert world.now - silent_at < FIVE_S + (REPORT_TIMEOUT_S - 2.0 if frozen else 0.0)
@@ -336,7 +336,7 @@
     world.run(3.0)
     assert (
         "owner replaced shard=" in caplog.text
-        and not world.controllers[old].parts.owned_shards.shards
+        and not world.controllers[old].components.owned_shards.shards
     )
     followed = next(iter(standby_of(world.controllers[third]).follower.shards.values()))
     assert followed.owner == world.holder() and followed.replica is not None
@@ -539,7 +539,7 @@
         if victim not in world.controllers:
             world.boot(victim)
         world.until(
-            lambda: any(c.parts.session.is_live() for c in world.controllers.values()), 20.0
+            lambda: any(c.components.session.is_live() for c in world.controllers.values()), 20.0
         )
         world.run(2.0)
     world.link = lambda one, other, body: [0.0]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -256,7 +256,7 @@
     world = mixed([])
     uid = submit(world, 1, pieces=4)
     world.until(lambda: len(world.running(uid)) == 4, 20.0)
-    held = next(iter(world.controllers[world.holder()].parts.owned_shards.shards.values()))
+    held = next(iter(world.controllers[world.holder()].components.owned_shards.shards.values()))
     for number in range(9):
         held.jobs[uid].progress.mod_revisions[f"{number}@64"] = 0
     world.until(lambda: world.stage(uid) == "done", 30.0)
--- a/tests/world.py
+++ b/tests/world.py
@@ -438,7 +438,7 @@
         made = settings(label, self.operators if operators is None else operators, **self.facts)
         self.controllers[label] = Controller(made, f"boot-{self.boots}", lambda: self.now)
         if older:
-            self.controllers[label].parts.session.record_format = 1
+            self.controllers[label].components.session.record_format = 1
 
     def crash(self, *labels: str) -> None:
         for label in labels:
@@ -562,7 +562,7 @@
                 else:
                     self.later.append((self.now + wait_s, lambda: back(status, _json(answer))))
         elif call.address == CLOUD:
-            sender = f"{label} {caller.parts.context.incarnation}"
+            sender = f"{label} {caller.components.context.incarnation}"
             late_s = self.cloud_late.get(label, 0.0)
             if self.blocked(label, "cloud"):
                 self.later.append((self.now + call.timeout_s, lambda: back(None, b"")))
