--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -159,7 +159,7 @@
         task_counts = self._current_task_counts()
         if leading:
             self.provider.target_sizes = self.balancer.target_sizes()
-        if not self.extensions.balance_shards:
+        if not self.extensions.balances_shards:
             self.balancer.rebalance(self.owned_shards.shards)
         machine_requests = [
             request for requests in self._machine_requests.values() for request in requests
--- a/fallpulley/controller/record_dispatch.py
+++ b/fallpulley/controller/record_dispatch.py
@@ -36,7 +36,7 @@
         if key.startswith(JOB_PREFIX):
             self.job_sync.on_record(key[len(JOB_PREFIX) :], value, mod_revision)
             return
-        extension = self.extensions.watching(key)
+        extension = self.extensions.for_key(key)
         if extension is not None:
             extension.on_key_changed(key, value, mod_revision)
             return
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -169,10 +169,10 @@
         components.owned_shards,
     )
     if operators.standby.enabled:
-        from fallpulley.standby.service import Standby
+        from fallpulley.standby.service import StandbyService
 
         components.extensions.add(
-            Standby(components.context, components.registry, components.peers.send)
+            StandbyService(components.context, components.registry, components.peers.send)
         )
     if operators.shares.enabled:
         from fallpulley.shares.service import SharesService
--- a/fallpulley/extensions.py
+++ b/fallpulley/extensions.py
@@ -70,11 +70,11 @@
 
     # -- decisions -------------------------------------------------------------------------
 
-    def hold_off_s(self) -> float:
+    def leader_claim_delay_s(self) -> float:
         """Return how long to wait before claiming a vacant leadership, in seconds."""
         return 0.0
 
-    def shards_to_open(self) -> list[str]:
+    def shards_to_create(self) -> list[str]:
         """Return the controllers that are to have a shard even if no further one is needed."""
         return []
 
@@ -105,7 +105,7 @@
         found = (each for each in self._extensions if isinstance(each, kind))
         return next(found, None)
 
-    def watching(self, key: str) -> Extension | None:
+    def for_key(self, key: str) -> Extension | None:
         """Return the extension that watches the record under `key`; None if there is none."""
         return next((each for each in self._extensions if each.watches(key)), None)
 
@@ -121,17 +121,17 @@
         return next((each for each in self._extensions if each.operator_path == path), None)
 
     @property
-    def balance_shards(self) -> bool:
+    def balances_shards(self) -> bool:
         """Whether an extension balances shards, so that the balancer must not."""
         return any(each.balances_shards for each in self._extensions)
 
-    def hold_off_s(self) -> float:
+    def leader_claim_delay_s(self) -> float:
         """Return how long to wait before claiming a vacant leadership, in seconds."""
-        return max((each.hold_off_s() for each in self._extensions), default=0.0)
+        return max((each.leader_claim_delay_s() for each in self._extensions), default=0.0)
 
-    def shards_to_open(self) -> list[str]:
+    def shards_to_create(self) -> list[str]:
         """Return the controllers that are to have a shard even if no further one is needed."""
-        return [name for each in self._extensions for name in each.shards_to_open()]
+        return [name for each in self._extensions for name in each.shards_to_create()]
 
     def shard_of_team(self, team: str) -> str | None:
         """Return the shard for a team's new jobs; None for the shard with the least work."""
--- a/fallpulley/membership/leader_election.py
+++ b/fallpulley/membership/leader_election.py
@@ -16,7 +16,7 @@
 class ElectionPolicy(Protocol):
     """The decisions about elections that extensions make."""
 
-    def hold_off_s(self) -> float:
+    def leader_claim_delay_s(self) -> float:
         """Return how long to leave a vacant leadership to other controllers, in seconds."""
 
 
@@ -74,7 +74,9 @@
     def _vacant_long_enough(self) -> bool:
         """Return whether there is no leader and the delay set by the policy has passed."""
         since = self._leaderless_since
-        return since is not None and self._context.now >= since + self._policy.hold_off_s()
+        return (
+            since is not None and self._context.now >= since + self._policy.leader_claim_delay_s()
+        )
 
     def _claim(self) -> None:
         if not self._writes.try_reserve(LEADER_KEY):
--- a/fallpulley/membership/shard_creation.py
+++ b/fallpulley/membership/shard_creation.py
@@ -14,7 +14,7 @@
 class ShardCreationPolicy(Protocol):
     """The shards that extensions ask for."""
 
-    def shards_to_open(self) -> list[str]:
+    def shards_to_create(self) -> list[str]:
         """Return the controllers that are to have a shard even if the machines need none."""
 
 
@@ -39,7 +39,7 @@
 
     def tick(self) -> None:
         """Create the shards that are needed. Only the leader may call this."""
-        for controller_id in self._policy.shards_to_open():
+        for controller_id in self._policy.shards_to_create():
             self._assignment.create_shard(controller_id, controller_id)
         if not self._create_for_machines() and self._all_records_full():
             # The records must hold all machines, even if no controller is without a shard.
--- a/fallpulley/shares/command.py
+++ b/fallpulley/shares/command.py
@@ -179,7 +179,7 @@
         print(msgspec.json.encode(response).decode())
         return
     age = f"{response.age_s:.1f} s"
-    print(f"revision {response.revision} reported by {response.controller_id}, records {age} old")
+    print(f"revision {response.revision} by {response.controller_id}, records of {age} ago")
     _print_table_of_shares(response)
     _print_table_of_shards(response)
 
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -55,7 +55,7 @@
                 return controller_id
         return None
 
-    def shards_to_open(self) -> list[str]:
+    def shards_to_create(self) -> list[str]:
         """Return the controllers that have a share and a session but no shard yet."""
         registry = self._access.registry
         return [
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -47,7 +47,7 @@
 SendMessage = Callable[[str, bytes], None]
 
 
-class Standby(Extension):
+class StandbyService(Extension):
     """Replication of one controller: the streams it sends and the replicas it keeps."""
 
     peer_message_prefix = b'["standby_'
@@ -202,7 +202,7 @@
 
     # -- leadership ------------------------------------------------------------------------
 
-    def hold_off_s(self) -> float:
+    def leader_claim_delay_s(self) -> float:
         """Return how long to leave a free leadership to others with newer replicas, in seconds.
 
         After that time this controller claims the leadership even if those others have sessions.
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -41,7 +41,7 @@
     unpack,
 )
 from fallpulley.standby.replica import GapError, MachineCopy, Replica, Snapshot, apply_entries
-from fallpulley.standby.service import Standby
+from fallpulley.standby.service import StandbyService
 from tests.test_edges import GOOD
 from tests.test_stories import others, ready, submit
 from tests.world import LABELS, World
@@ -53,8 +53,8 @@
 REPORT_TIMEOUT_S = 4.0 + 1.0
 
 
-def standby_of(controller: Controller) -> Standby:
-    standby = controller.components.extensions.find(Standby)
+def standby_of(controller: Controller) -> StandbyService:
+    standby = controller.components.extensions.find(StandbyService)
     assert standby is not None
     return standby
 
