--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -98,7 +98,7 @@
             if shard_id not in targets or receiver is None or shortages[receiver] < 1:
                 continue
             surplus = sizes[shard_id] - targets[shard_id]
-            if surplus < 1 or self.writer.has_moves(shard_id):
+            if surplus < 1 or self.writer.has_pending_moves(shard_id):
                 continue
             max_moved = max(1, int(MAX_MOVED_SHARE * sizes[shard_id]))
             count = min(max_moved, shortages[receiver], surplus)
--- a/fallpulley/cloud/messages.py
+++ b/fallpulley/cloud/messages.py
@@ -27,6 +27,7 @@
         "gpus": "cards",
         "memory_gb": "mem_gb",
         "price_per_hour": "hourly",
+        "spot_price_per_hour": "spot_price",
         "boot_s": "startup_s",
         "zones": "halls",
     },
@@ -38,7 +39,7 @@
     gpus: float
     memory_gb: float
     price_per_hour: float
-    spot_price: float  # price per hour of a spot machine
+    spot_price_per_hour: float  # price per hour of a spot machine
     boot_s: float  # usual time from the rental until the machine is up
     zones: list[str]  # zones in which the type is offered
     cache_gb: float = 0.0  # size of the image cache
--- a/fallpulley/controller/health.py
+++ b/fallpulley/controller/health.py
@@ -4,7 +4,7 @@
 
 from fallpulley.context import ControllerContext
 from fallpulley.membership.session import SessionLease
-from fallpulley.mesh.peers import HEARTBEAT_SECONDS, Peers
+from fallpulley.mesh.peers import PEER_HEARTBEAT_INTERVAL_SECONDS, Peers
 from fallpulley.state.watch_cache import WatchCache
 
 # A controller that has read no records for this many peer heartbeat intervals after its start
@@ -47,18 +47,22 @@
         if self._is_isolated():
             return False
         if self.watch.ready:
-            return not self.peers.is_stale(self.watch.fresh_at)
+            return not self.peers.is_watch_cache_stale(self.watch.fresh_at)
         # Nothing was read yet: healthy only if no peer can read the records either.
         waited_s = self.context.now - self._started_at
-        return waited_s > STARTUP_OUTAGE_HEARTBEATS * HEARTBEAT_SECONDS and not self.peers.is_stale(
-            self._started_at - HEARTBEAT_SECONDS
+        return (
+            waited_s > STARTUP_OUTAGE_HEARTBEATS * PEER_HEARTBEAT_INTERVAL_SECONDS
+            and not self.peers.is_watch_cache_stale(
+                self._started_at - PEER_HEARTBEAT_INTERVAL_SECONDS
+            )
         )
 
     def _is_isolated(self) -> bool:
         last_contact = max(self.watch.fresh_at, self._started_at)
         return (
             bool(self.context.settings.peers)
-            and self.context.now - last_contact > ISOLATED_HEARTBEATS * HEARTBEAT_SECONDS
+            and self.context.now - last_contact
+            > ISOLATED_HEARTBEATS * PEER_HEARTBEAT_INTERVAL_SECONDS
             and self.peers.has_no_live_peer()
         )
 
--- a/fallpulley/controller/record_dispatch.py
+++ b/fallpulley/controller/record_dispatch.py
@@ -48,7 +48,7 @@
         shard_id = self.registry.on_key_changed(key, value, mod_revision)
         if shard_id is not None:
             self.lifecycle.on_record(shard_id, owners.get(shard_id))
-            self.lifecycle.update_change_share()
+            self.lifecycle.update_change_rate_factor()
         elif key.startswith(SESSION_PREFIX):
             self.lifecycle.check_previous_owners()
             if value is not None:
@@ -56,4 +56,4 @@
                     extension.on_session_began(key[len(SESSION_PREFIX) :])
         elif key == FORMAT_KEY:
             self.context.record_format.adopt(self.registry.record_format)
-            self.lifecycle.update_change_share()
+            self.lifecycle.update_change_rate_factor()
--- a/fallpulley/controller/shard_lifecycle.py
+++ b/fallpulley/controller/shard_lifecycle.py
@@ -10,7 +10,7 @@
 from fallpulley.records.registry import Registry
 from fallpulley.records.shard_record import OwnerProcess, ShardRecord
 from fallpulley.records.writer import ShardWriter
-from fallpulley.shard_sizes import change_share
+from fallpulley.shard_sizes import change_budget_share
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.shards.shard import Shard
@@ -89,7 +89,7 @@
             return
         log.info("shard ownership lost shard=%s token=%d", shard_id, shard.fencing_token)
         self.owned_shards.remove(shard_id)
-        self.writer.forget_shard(shard_id)
+        self.writer.discard_owner_requests(shard_id)
         for extension in self.extensions:
             extension.on_shard_lost(shard_id)
 
@@ -110,7 +110,7 @@
         context = self.context
         return self.registry.has_ended(previous, context.controller_id, context.incarnation)
 
-    def update_change_share(self) -> None:
+    def update_change_rate_factor(self) -> None:
         """Update this controller's share of the budget of changes to the state service.
 
         Owners get larger shares, since they write most of the changes. The shares stay equal until
@@ -121,5 +121,5 @@
             return
         owners = {record.owner for record, _ in self.registry.shards.values()}
         nodes = max(1, self.context.settings.facts.nodes)
-        share = change_share(self.context.controller_id, owners, nodes)
-        self.context.state_client.change_budget.set_share(share)
+        share = change_budget_share(self.context.controller_id, owners, nodes)
+        self.context.state_client.change_budget.set_rate_factor(share)
--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -149,7 +149,7 @@
 
     def _limit_to_record_size(self, machine_ids: list[str]) -> list[str]:
         """Halve a list until one intent can hold it, but keep at least one machine."""
-        max_bytes = MAX_INTENT_VALUE_SHARE * self._access.context.record_format.value_bytes
+        max_bytes = MAX_INTENT_VALUE_SHARE * self._access.context.record_format.max_value_bytes
         while len(machine_ids) > 1 and len(msgspec.json.encode(machine_ids)) > max_bytes:
             machine_ids = machine_ids[: len(machine_ids) // 2]
         return machine_ids
--- a/fallpulley/fleet/adoption.py
+++ b/fallpulley/fleet/adoption.py
@@ -57,7 +57,7 @@
         """
         if (
             machine_id in self.releases.released_at
-            or machine_id in self.registry.release_records
+            or machine_id in self.registry.release_record_keys
             or not self._action_guard().may_adopt()
         ):
             return False
@@ -89,7 +89,7 @@
         """Return whether the machine is in a record, being added to one, or to be released."""
         return (
             machine_id in self.registry.shard_of_machine
-            or machine_id in self.registry.release_records
+            or machine_id in self.registry.release_record_keys
             or self.writer.is_being_added(machine_id)
             or machine_id in self.releases.requested
         )
--- a/fallpulley/fleet/releases.py
+++ b/fallpulley/fleet/releases.py
@@ -71,7 +71,7 @@
 
     def _machines_to_release(self) -> list[str]:
         """Return the machines to release: those in release records first, then requested ones."""
-        recorded = self.registry.release_records
+        recorded = self.registry.release_record_keys
         machine_ids = [
             machine_id
             for machine_id, key in recorded.items()
@@ -88,7 +88,9 @@
         for machine_id in machine_ids:
             self.released_at[machine_id] = self.context.now
             self.requested.discard(machine_id)
-        for key in {self.registry.release_records.get(machine_id) for machine_id in machine_ids}:
+        for key in {
+            self.registry.release_record_keys.get(machine_id) for machine_id in machine_ids
+        }:
             if key is not None and self._all_released(key):
                 self._delete_record(key)
         self._action_guard().on_released(machine_ids)
--- a/fallpulley/fleet/sizing.py
+++ b/fallpulley/fleet/sizing.py
@@ -122,7 +122,11 @@
             for zone in machine_type.zones:
                 for spot in (True, False):
                     if group.may_use(machine_type.name, zone, spot):
-                        price = machine_type.spot_price if spot else machine_type.price_per_hour
+                        price = (
+                            machine_type.spot_price_per_hour
+                            if spot
+                            else machine_type.price_per_hour
+                        )
                         offer = Offer(machine_type.name, zone, spot)
                         found.append(PricedOffer(price / cpus, offer))
         return sorted(found)
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -152,7 +152,7 @@
                 shard_id, round(self.context.wall_time * 1000), spec.task_count, JobState.OPEN, spec
             )
         )
-        if len(value) > self.context.record_format.value_bytes:
+        if len(value) > self.context.record_format.max_value_bytes:
             self.responder.send_error(pending_response, HTTPStatus.BAD_REQUEST, "too long")
             return
         self._write_acceptance(pending_response, spec, shard_id, value)
--- a/fallpulley/membership/shard_assignment.py
+++ b/fallpulley/membership/shard_assignment.py
@@ -59,7 +59,7 @@
                 record.owner == self._context.controller_id
                 and record.incarnation != self._context.incarnation
             )
-            if owned_by_older_process or (leading and not self._registry.owner_alive(record)):
+            if owned_by_older_process or (leading and not self._registry.is_owner_alive(record)):
                 self._fail_over(shard_id, shard)
 
     def hand_off(self, shard_id: str, new_owner: str) -> None:
@@ -157,7 +157,7 @@
         This takes one write, however many machines the shard has.
         """
         record_format = self._context.record_format
-        value = record.encode(record_format.compact, record_format.value_bytes)
+        value = record.encode(record_format.compact, record_format.max_value_bytes)
         self._writes.send(conditions, Change(key, value))
 
 
--- a/fallpulley/membership/shard_creation.py
+++ b/fallpulley/membership/shard_creation.py
@@ -70,7 +70,7 @@
             return False
         if record_format.paged and not all(record.pages for record, _ in shards.values()):
             return False  # a full record is divided into pages before a shard is added
-        full_bytes = FULL_RECORD_SHARE * record_format.value_bytes
+        full_bytes = FULL_RECORD_SHARE * record_format.max_value_bytes
         record_bytes = self._registry.record_bytes
         return bool(shards) and all(record_bytes[shard_id] > full_bytes for shard_id in shards)
 
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -19,14 +19,14 @@
 )
 
 # Interval between two heartbeats to the peers, and timeout of a message.
-HEARTBEAT_SECONDS = 1.0
+PEER_HEARTBEAT_INTERVAL_SECONDS = 1.0
 # Maximum age of a peer's last heartbeat for the peer to count as live, in heartbeat intervals.
 RECENT_HEARTBEAT_INTERVALS = 3.5
-RECENT_SECONDS = RECENT_HEARTBEAT_INTERVALS * HEARTBEAT_SECONDS
+RECENT_SECONDS = RECENT_HEARTBEAT_INTERVALS * PEER_HEARTBEAT_INTERVAL_SECONDS
 # This controller's watch cache is stale if a peer's was refreshed later by more than this, in
 # heartbeat intervals.
 STALE_HEARTBEAT_INTERVALS = 3.0
-STALE_SECONDS = STALE_HEARTBEAT_INTERVALS * HEARTBEAT_SECONDS
+STALE_SECONDS = STALE_HEARTBEAT_INTERVALS * PEER_HEARTBEAT_INTERVAL_SECONDS
 # Upper limit of the staleness in a heartbeat, in seconds; a controller that has never read the
 # records sends it.
 MAX_STALENESS_SECONDS = 1e6
@@ -63,7 +63,7 @@
         target_sizes: dict[str, int],
     ) -> None:
         """Send this controller's heartbeat to all peers."""
-        self._next_heartbeat_at = self.context.now + HEARTBEAT_SECONDS
+        self._next_heartbeat_at = self.context.now + PEER_HEARTBEAT_INTERVAL_SECONDS
         heartbeat = PeerHeartbeat(
             self.context.controller_id,
             self.context.incarnation,
@@ -91,7 +91,12 @@
 
     def _post(self, address: str, body: bytes) -> None:
         self.context.call(
-            address, "POST", PEER_MESSAGES_PATH, body, HEARTBEAT_SECONDS, ignore_response
+            address,
+            "POST",
+            PEER_MESSAGES_PATH,
+            body,
+            PEER_HEARTBEAT_INTERVAL_SECONDS,
+            ignore_response,
         )
 
     # -- receiving -------------------------------------------------------------------------
@@ -133,7 +138,7 @@
         """Return whether no peer counts as live."""
         return not any(self.is_recent(controller_id) for controller_id in self.last_heartbeats)
 
-    def is_stale(self, fresh_at: float) -> bool:
+    def is_watch_cache_stale(self, fresh_at: float) -> bool:
         """Return whether a live peer reached the state service clearly later than this controller.
 
         `fresh_at`: when this controller last reached it, by the monotonic clock. A peer's
--- a/fallpulley/persistence/job_persistence.py
+++ b/fallpulley/persistence/job_persistence.py
@@ -104,7 +104,7 @@
         changes = [Change(key, self._completed_record(job.record))]
         conditions = {key: job.mod_revision}
         # Delete as many progress values as the transaction can hold; those that remain do no harm.
-        max_values = self.context.record_format.txn_ops - 1
+        max_values = self.context.record_format.max_transaction_changes - 1
         for name, mod_revision in list(job.progress.mod_revisions.items())[:max_values]:
             chunk_key = progress_key(job.job_id, name)
             conditions[chunk_key] = mod_revision
--- a/fallpulley/record_format.py
+++ b/fallpulley/record_format.py
@@ -39,7 +39,7 @@
         self._controller_count = controller_count
         self._state_client = state_client
         if self.strictest_limits.value_kb < limits.value_kb:
-            state_client.future_value_bytes = self.strictest_limits.value_kb * 1024
+            state_client.future_max_value_bytes = self.strictest_limits.value_kb * 1024
             state_client.on_future_limits = self._on_future_limits
 
     @property
@@ -53,12 +53,12 @@
         return self.number >= PAGED_FORMAT
 
     @property
-    def txn_ops(self) -> int:
+    def max_transaction_changes(self) -> int:
         """Maximum number of changes (puts and deletes) in one transaction."""
         return self.strictest_limits.txn_ops
 
     @property
-    def value_bytes(self) -> int:
+    def max_value_bytes(self) -> int:
         """Maximum size in bytes of a value that this controller writes.
 
         Once no controller needs the first format, the announced limit counts if it is lower, so
--- a/fallpulley/records/layout.py
+++ b/fallpulley/records/layout.py
@@ -19,16 +19,16 @@
 
 
 def encode_single_value(record: ShardRecord, machines: Machines, limits: RecordLimits) -> bytes:
-    """Return the record with these machines as one value; it may exceed `limits.value_bytes`.
+    """Return the record with these machines as one value; it may exceed `limits.max_value_bytes`.
 
     Addresses that do not fit are left out only where pages would not help: in formats without
     pages, and for a single machine.
     """
     changed = ShardRecord(record.owner, record.incarnation, machines, record.previous_owners)
-    max_bytes = MAX_TRANSACTION_BYTES if limits.paged else limits.value_bytes
+    max_bytes = MAX_TRANSACTION_BYTES if limits.paged else limits.max_value_bytes
     value = changed.encode(limits.compact, max_bytes)
-    if len(value) > limits.value_bytes and len(machines) == 1:
-        value = changed.encode(limits.compact, limits.value_bytes)
+    if len(value) > limits.max_value_bytes and len(machines) == 1:
+        value = changed.encode(limits.compact, limits.max_value_bytes)
     return value
 
 
@@ -41,14 +41,14 @@
 def page_change(shard_id: str, number: int, page: MachinePage, limits: RecordLimits) -> Change:
     """Return the change that writes a page, without addresses if they make it too large."""
     value = encode_page(page)
-    if len(value) > limits.value_bytes:
+    if len(value) > limits.max_value_bytes:
         value = encode_page(MachinePage(page.version, without_addresses(page.machines)))
     return Change(page_key(shard_id, number), value)
 
 
 def is_too_large(page: MachinePage, limits: RecordLimits) -> bool:
     """Return whether the page with its addresses exceeds the size of a value."""
-    return len(encode_page(page)) > limits.value_bytes
+    return len(encode_page(page)) > limits.max_value_bytes
 
 
 def split_into_pages(
@@ -108,4 +108,4 @@
         return False
     if len(record.pages) + 1 > limits.max_changes:
         return False
-    return len(encode_single_value(record, record.machines, limits)) * 2 <= limits.value_bytes
+    return len(encode_single_value(record, record.machines, limits)) * 2 <= limits.max_value_bytes
--- a/fallpulley/records/pending_changes.py
+++ b/fallpulley/records/pending_changes.py
@@ -12,7 +12,7 @@
 
     adding: Machines = msgspec.field(default_factory=dict)
     removing: set[str] = msgspec.field(default_factory=set)
-    moving: dict[str, str] = msgspec.field(default_factory=dict)  # machine -> receiving shard
+    destinations: dict[str, str] = msgspec.field(default_factory=dict)  # machine -> receiving shard
     # Machine -> flag to write: whether the machine may hold tasks.
     occupancy: dict[str, bool] = msgspec.field(default_factory=dict)
     needs_new_revision: bool = False  # write the record even if nothing in it changes
@@ -25,17 +25,17 @@
     @property
     def is_empty(self) -> bool:
         """Whether nothing is requested."""
-        return self.has_only_moves and not self.moving
+        return self.has_only_moves and not self.destinations
 
     def clear(self) -> None:
         """Discard all requests."""
         self.adding.clear()
-        self.clear_owners_requests()
+        self.discard_owner_requests()
 
-    def clear_owners_requests(self) -> None:
+    def discard_owner_requests(self) -> None:
         """Discard all requests that only the shard's owner may make: all except additions."""
         self.removing.clear()
-        self.moving.clear()
+        self.destinations.clear()
         self.occupancy.clear()
         self.needs_new_revision = False
 
@@ -44,9 +44,9 @@
         for machine_id in list(self.removing):
             if machine_id not in record.machines:
                 self.removing.discard(machine_id)
-        for machine_id in list(self.moving):
+        for machine_id in list(self.destinations):
             if machine_id not in record.machines:
-                del self.moving[machine_id]
+                del self.destinations[machine_id]
 
     def discard_recorded_occupancy(self, record: ShardRecord) -> None:
         """Discard flags that the record already has, and flags of machines not in the record."""
--- a/fallpulley/records/record_update.py
+++ b/fallpulley/records/record_update.py
@@ -49,9 +49,9 @@
     machines.update((machine_id, change.add[machine_id]) for machine_id in added)
     change.apply_to_entries(machines)
     value = encode_single_value(record, machines, limits)
-    if len(value) > limits.value_bytes and limits.paged and record.machines:
+    if len(value) > limits.max_value_bytes and limits.paged and record.machines:
         return split_into_pages(shard_id, record, mod_revision, limits)
-    while len(value) > limits.value_bytes and added:
+    while len(value) > limits.max_value_bytes and added:
         # A record above the size of a value could not be written. The machines added last are left
         # out; the cloud's next list of machines adds them to a shard that has room.
         for machine_id in added[len(added) // 2 :]:
--- a/fallpulley/records/registry.py
+++ b/fallpulley/records/registry.py
@@ -55,7 +55,7 @@
         self.first_format_shards: set[str] = set()  # shards whose records are in the first format
         self.shard_of_machine: dict[str, str] = {}  # machine -> shard
         self.team_shards: dict[str, str] = {}  # team -> its only shard
-        self.release_records: dict[str, str] = {}  # machine -> key of its release record
+        self.release_record_keys: dict[str, str] = {}  # machine -> key of its release record
         self.machines_by_release_record: dict[str, list[str]] = {}  # key -> machines
         # Controller -> newest record format that its last seen process can read.
         self.known_formats: dict[str, int] = {}
@@ -119,12 +119,12 @@
 
     def _on_release_record(self, key: str, value: bytes | None) -> None:
         for machine_id in self.machines_by_release_record.pop(key, ()):
-            self.release_records.pop(machine_id, None)
+            self.release_record_keys.pop(machine_id, None)
         record = decode_or_none(value, _decode_release_record)
         if record is not None:
             machine_ids = record.machine_ids or [key[len(RELEASE_PREFIX) :]]
             self.machines_by_release_record[key] = machine_ids
-            self.release_records.update(dict.fromkeys(machine_ids, key))
+            self.release_record_keys.update(dict.fromkeys(machine_ids, key))
 
     def _on_team(self, team: str, value: bytes | None) -> None:
         record = decode_or_none(value, _decode_team_shard)
@@ -220,7 +220,7 @@
         entry = self.shards.get(shard_id)
         return None if entry is None else entry.value.owner
 
-    def owner_alive(self, record: ShardRecord) -> bool:
+    def is_owner_alive(self, record: ShardRecord) -> bool:
         """Return whether the process that owns the shard has a session."""
         session = self.sessions.get(record.owner)
         return session is not None and session.value.incarnation == record.incarnation
--- a/fallpulley/records/release_records.py
+++ b/fallpulley/records/release_records.py
@@ -24,9 +24,9 @@
     released = sorted(machine_ids)
     if not record_format.compact:
         # In the first format each machine to be released needs its own record.
-        return released[: record_format.txn_ops - FIRST_FORMAT_RESERVED_CHANGES]
+        return released[: record_format.max_transaction_changes - FIRST_FORMAT_RESERVED_CHANGES]
     released = released[:MAX_RELEASED_PER_RECORD]
-    max_bytes = MAX_RELEASE_RECORD_SHARE * record_format.value_bytes
+    max_bytes = MAX_RELEASE_RECORD_SHARE * record_format.max_value_bytes
     while len(released) > 1 and len(msgspec.json.encode(ReleaseRecord(released))) > max_bytes:
         released = released[: len(released) // 2]
     return released
--- a/fallpulley/records/shard_change.py
+++ b/fallpulley/records/shard_change.py
@@ -15,7 +15,7 @@
 
     compact: bool  # whether the compact format or a newer one may be written
     paged: bool  # whether the paged format may be written
-    value_bytes: int  # maximum size of one value, in bytes
+    max_value_bytes: int  # maximum size of one value, in bytes
     max_changes: int  # maximum number of changed keys, including the record itself
 
 
--- a/fallpulley/records/transactions.py
+++ b/fallpulley/records/transactions.py
@@ -72,11 +72,11 @@
         the transaction would exceed the limits, all moves are discarded from `pending` and the
         machines stay.
         """
-        receiver_id = next(iter(pending.moving.values()), None)
+        receiver_id = next(iter(pending.destinations.values()), None)
         receiver = self._registry.shards.get(receiver_id) if receiver_id is not None else None
         if receiver_id is None or receiver is None:
             return None
-        max_changes = self._record_format.txn_ops // 2
+        max_changes = self._record_format.max_transaction_changes // 2
         machines = _machines_moving_to(receiver_id, shard.value, pending)
         added = self._update(receiver_id, receiver, ShardChange(machines), max_changes)
         removal = ShardChange({}, added.added, pending.occupancy, self._addresses)
@@ -85,7 +85,7 @@
             machines = {machine_id: machines[machine_id] for machine_id in removed.removed}
             added = self._update(receiver_id, receiver, ShardChange(machines), max_changes)
         if not _can_commit_together(removed, added):
-            pending.moving.clear()
+            pending.destinations.clear()
             return None
         conditions = {
             SHARD_PREFIX + shard_id: shard.mod_revision,
@@ -97,7 +97,7 @@
         self, shard_id: str, shard: Versioned[ShardRecord], change: ShardChange
     ) -> RecordUpdate:
         """Return an update with as much of the change as one transaction can hold."""
-        max_changes = self._record_format.txn_ops - RESERVED_RELEASE_CHANGES
+        max_changes = self._record_format.max_transaction_changes - RESERVED_RELEASE_CHANGES
         update = self._update(shard_id, shard, change, max_changes)
         while update.size > MAX_TRANSACTION_BYTES and max_changes > MIN_UPDATE_CHANGES:
             max_changes = max(MIN_UPDATE_CHANGES, max_changes // 2)
@@ -114,7 +114,7 @@
         limits = RecordLimits(
             self._record_format.compact,
             self._record_format.paged,
-            self._record_format.value_bytes,
+            self._record_format.max_value_bytes,
             max_changes,
         )
         return update_record(shard_id, shard.value, shard.mod_revision, change, limits)
@@ -128,7 +128,7 @@
 def _machines_moving_to(shard_id: str, record: ShardRecord, pending: PendingChanges) -> Machines:
     return {
         machine_id: _unoccupied(record.machines[machine_id])
-        for machine_id, receiver_id in pending.moving.items()
+        for machine_id, receiver_id in pending.destinations.items()
         if receiver_id == shard_id and machine_id in record.machines
     }
 
--- a/fallpulley/records/writer.py
+++ b/fallpulley/records/writer.py
@@ -79,7 +79,7 @@
 
         Only the owner may request it, once it places no more tasks on the machine.
         """
-        self._pending[shard_id].moving[machine_id] = to
+        self._pending[shard_id].destinations[machine_id] = to
 
     def set_occupied(self, shard_id: str, machine_id: str, occupied: bool) -> None:
         """Request to write a machine's occupancy flag; only the owner may request it.
@@ -96,9 +96,9 @@
         """Omit the previous owners from the next write on: their response windows have ended."""
         self._shards_without_previous_owners.add(shard_id)
 
-    def forget_shard(self, shard_id: str) -> None:
+    def discard_owner_requests(self, shard_id: str) -> None:
         """Discard the requests that only an owner may make, because the shard has another owner."""
-        self._pending[shard_id].clear_owners_requests()
+        self._pending[shard_id].discard_owner_requests()
         self._shards_without_previous_owners.discard(shard_id)
 
     # -- pending requests --------------------------------------------------------------------------
@@ -111,9 +111,9 @@
         """Return whether the machine is to be added to any shard."""
         return any(machine_id in pending.adding for pending in self._pending.values())
 
-    def has_moves(self, shard_id: str) -> bool:
+    def has_pending_moves(self, shard_id: str) -> bool:
         """Return whether machines of the shard are to be moved to other shards."""
-        return bool(self._pending[shard_id].moving)
+        return bool(self._pending[shard_id].destinations)
 
     def pending_occupancy(self, shard_id: str) -> Mapping[str, bool]:
         """Return requested occupancy flags, by machine, that may not be in the record yet."""
@@ -132,7 +132,7 @@
         pending = self._pending[shard_id]
         return (
             machine_id in pending.removing
-            or machine_id in pending.moving
+            or machine_id in pending.destinations
             or self._write_states[shard_id].is_unresolved
         )
 
@@ -146,13 +146,13 @@
         entry_bytes = COMPACT_ENTRY_BYTES if record_format.compact else FIRST_FORMAT_ENTRY_BYTES
         added = len(self._pending[shard_id].adding) + 1
         filled = self.registry.record_bytes.get(shard_id, 0)
-        return filled + added * entry_bytes <= record_format.value_bytes
+        return filled + added * entry_bytes <= record_format.max_value_bytes
 
     def _header_is_full(self, shard_id: str) -> bool:
         """Return whether the shard has so many pages that their list nearly fills its record."""
         shard = self.registry.shards.get(shard_id)
         filled = self.registry.record_bytes.get(shard_id, 0)
-        full_bytes = FULL_RECORD_SHARE * self.context.record_format.value_bytes
+        full_bytes = FULL_RECORD_SHARE * self.context.record_format.max_value_bytes
         return shard is not None and bool(shard.value.pages) and filled > full_bytes
 
     # -- writing -----------------------------------------------------------------------------------
@@ -203,7 +203,7 @@
         If both moves and other changes are pending, they alternate.
         """
         transaction = None
-        if pending.moving and (pending.has_only_moves or not state.last_write_was_move):
+        if pending.destinations and (pending.has_only_moves or not state.last_write_was_move):
             transaction = self._transactions.build_move(shard_id, shard, pending)
         if transaction is not None:
             state.last_write_was_move = True
--- a/fallpulley/shard_sizes.py
+++ b/fallpulley/shard_sizes.py
@@ -95,7 +95,7 @@
         remainder -= added
 
 
-def change_share(controller_id: str, owners: set[str], controllers: int) -> float:
+def change_budget_share(controller_id: str, owners: set[str], controllers: int) -> float:
     """Return a controller's share of the change budget, relative to an equal share.
 
     1 means an equal share. The shares of all controllers add up to their number.
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -119,7 +119,7 @@
         if (
             destinations
             and self._move_budget.tokens >= 1
-            and not self._writer.has_moves(shard.shard_id)
+            and not self._writer.has_pending_moves(shard.shard_id)
         ):
             self._move_empty_machines(shard, destinations)
 
--- a/fallpulley/shares/requests.py
+++ b/fallpulley/shares/requests.py
@@ -85,7 +85,7 @@
 
     def _write(self, request: OperatorRequest, set_shares: SetShares, table: ShareTable) -> None:
         value = msgspec.json.encode(table)
-        if len(value) > self._access.context.record_format.value_bytes:
+        if len(value) > self._access.context.record_format.max_value_bytes:
             self._respond_refused(request, "too long for a record")
             return
 
--- a/fallpulley/shares/status.py
+++ b/fallpulley/shares/status.py
@@ -54,7 +54,7 @@
         moves = self._reconciler.feasible_moves(targets)
         return {shard_id for move in moves for shard_id in (move.source, move.destination)}
 
-    def _shard_state(self, shard_id: str, targets: Targets, has_moves: bool) -> ShardState:
+    def _shard_state(self, shard_id: str, targets: Targets, has_pending_moves: bool) -> ShardState:
         record, _ = self._access.registry.shards[shard_id]
         shard = self._access.owned_shards.shards.get(shard_id)
         draining = None
@@ -67,14 +67,16 @@
             round(targets.target[shard_id], 1) if has_shares else None,
             targets.actual[shard_id],
             len(record.machines),
-            self._progress(shard_id, shard, draining) if has_moves else ShardProgress.CONVERGED,
+            self._progress(shard_id, shard, draining)
+            if has_pending_moves
+            else ShardProgress.CONVERGED,
             draining,
         )
 
     def _progress(self, shard_id: str, shard: Shard | None, draining: int | None) -> ShardProgress:
         """Return the reason why the shard has not reached its share yet."""
         record, _ = self._access.registry.shards[shard_id]
-        if not self._access.registry.owner_alive(record):
+        if not self._access.registry.is_owner_alive(record):
             return ShardProgress.CONTROLLER_ABSENT
         if shard is not None and shard.unreconciled:
             return ShardProgress.UNRECONCILED
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -208,7 +208,7 @@
         After that time this controller claims the leadership even if those others have sessions.
         """
         for shard_id, (record, _) in self.registry.shards.items():
-            if not self.registry.owner_alive(record) and self._others_newer(shard_id):
+            if not self.registry.is_owner_alive(record) and self._others_newer(shard_id):
                 return CLAIM_DELAY_SESSIONS * self.context.timing.session_s
         return 0.0
 
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -86,7 +86,7 @@
         self.timeout_s = REQUEST_TIMEOUT_SECONDS
         # Size in bytes above which the service refuses values once its future limits hold. A
         # refused write with a larger value shows that they do: `on_future_limits` is called.
-        self.future_value_bytes = float("inf")
+        self.future_max_value_bytes = float("inf")
         self.on_future_limits: Callable[[], None] = _ignore_future_limits
         # Rates of requests and changes a second that hold in future. They are adopted when the
         # service first refuses a transaction for its rate.
@@ -235,7 +235,7 @@
         Of several writes it is not known which is invalid: each is sent again by itself.
         """
         values = (change.value or b"" for write in writes for change in write.changes)
-        if any(len(value) > self.future_value_bytes for value in values):
+        if any(len(value) > self.future_max_value_bytes for value in values):
             self.on_future_limits()
         if len(writes) > 1:
             for write in writes:
--- a/fallpulley/state/token_bucket.py
+++ b/fallpulley/state/token_bucket.py
@@ -12,7 +12,7 @@
     def __init__(self, rate: float) -> None:
         """Create a full bucket; `rate`: tokens a second."""
         self.base_rate = rate  # tokens a second when all controllers have the same rate
-        self.share = 1.0  # factor by which the base rate is multiplied
+        self.rate_factor = 1.0  # factor by which the base rate is multiplied
         self.rate = rate  # tokens a second
         self.capacity = max(rate, 1.0)
         self.tokens = self.capacity
@@ -21,15 +21,15 @@
     def lower_rate(self, rate: float) -> None:
         """Lower the base rate to `rate` tokens a second; it is never raised."""
         self.base_rate = min(self.base_rate, rate)
-        self.set_share(self.share)
+        self.set_rate_factor(self.rate_factor)
 
-    def set_share(self, share: float) -> None:
-        """Set the rate to `share` times the base rate.
+    def set_rate_factor(self, factor: float) -> None:
+        """Set the rate to `factor` times the base rate.
 
-        The shares of all controllers add up to the number of controllers.
+        The factors of all controllers add up to the number of controllers.
         """
-        self.share = share
-        self.rate = self.base_rate * share
+        self.rate_factor = factor
+        self.rate = self.base_rate * factor
         self.capacity = max(self.rate, 1.0)
         self.tokens = min(self.tokens, self.capacity)
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -18,7 +18,7 @@
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.settings import SettingsError, load
 from fallpulley.shard_sizes import (
-    change_share,
+    change_budget_share,
     machines_per_shard,
     shards_needed,
     target_sizes,
@@ -166,15 +166,15 @@
 
 def test_parts_of_the_write_budget_add_up_and_a_lower_limit_is_shared_alike() -> None:
     for holders in (set(), {"a"}, {"a", "c"}, {"a", "b", "c"}):
-        parts = {label: change_share(label, holders, 3) for label in "abc"}
+        parts = {label: change_budget_share(label, holders, 3) for label in "abc"}
         assert sum(parts.values()) == pytest.approx(3.0)
         assert all(parts[label] == max(parts.values()) for label in holders)
     bucket = TokenBucket(9.0)
-    bucket.set_share(change_share("a", {"a"}, 3))
+    bucket.set_rate_factor(change_budget_share("a", {"a"}, 3))
     assert bucket.rate == pytest.approx(18.0) and bucket.tokens <= 9.0
     bucket.lower_rate(6.0)
     assert bucket.rate == pytest.approx(12.0)
-    bucket.set_share(change_share("a", {"b"}, 3))
+    bucket.set_rate_factor(change_budget_share("a", {"b"}, 3))
     assert bucket.rate == pytest.approx(3.0) and bucket.tokens <= 3.0
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -99,7 +99,7 @@
     stored = Stored(SMALL)
     stored.add_all(machines)
     assert stored.record.machines == machines
-    assert stored.largest <= SMALL.value_bytes
+    assert stored.largest <= SMALL.max_value_bytes
     # The flag of one machine writes the record and one page, whatever the fleet's size.
     writes = stored.writes
     machine_id = next(iter(machines))
@@ -107,9 +107,9 @@
     assert stored.writes - writes <= 3 and stored.record.machines[machine_id].occupied
     # A failover writes the record alone.
     changed = msgspec.structs.replace(stored.record, owner="node-1", incarnation="other")
-    value = changed.encode(True, SMALL.value_bytes)
+    value = changed.encode(True, SMALL.max_value_bytes)
     stored.revision += 1
-    assert len(value) <= SMALL.value_bytes
+    assert len(value) <= SMALL.max_value_bytes
     assert stored.registry.on_key_changed("live/block/b", value, stored.revision) == "b"
     assert stored.record.owner == "node-1" and len(stored.record.machines) == count
 
@@ -171,7 +171,7 @@
         for machine_id in update.removed:
             del expected[machine_id]
         assert set(stored.record.machines) == set(expected)
-        assert stored.largest <= limits.value_bytes
+        assert stored.largest <= limits.max_value_bytes
         for machine_id, entry in stored.record.machines.items():
             assert (entry.machine_type, entry.zone, entry.spot) == (
                 expected[machine_id].machine_type,
