--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -4,16 +4,16 @@
 
 import logging
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.peers import Peers
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shard_sizes import target_sizes
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/controller/cancellation_announcer.py
+++ b/fallpulley/controller/cancellation_announcer.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from fallpulley.context import ControllerContext
 from fallpulley.controller.job_sync import JobSync
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.service import JobService
 from fallpulley.mesh.peers import Peers
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.registry import Registry
 
 
 class CancellationAnnouncer:
--- a/fallpulley/controller/health.py
+++ b/fallpulley/controller/health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.peers import PEER_HEARTBEAT_INTERVAL_SECONDS, Peers
 from fallpulley.state.watch_cache import WatchCache
--- a/fallpulley/controller/peer_messages.py
+++ b/fallpulley/controller/peer_messages.py
@@ -11,7 +11,7 @@
 from fallpulley.membership.leadership import Leadership
 from fallpulley.mesh.messages import Cancellations, PeerHeartbeat
 from fallpulley.mesh.peers import Peers
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.registry import Registry
 
 
 class PeerMessageHandler:
--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from fallpulley.balancing.balancer import ShardBalancer
-from fallpulley.context import ControllerContext
 from fallpulley.controller.health import Health
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extensions
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
@@ -16,12 +16,12 @@
 from fallpulley.mesh.peers import Peers
 from fallpulley.mesh.task_counts import TaskCountRotation
 from fallpulley.persistence.job_persistence import JobPersistence
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.scheduling.planner import Planner
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.owned_shards import OwnedShards
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 
 # Time from one tick to the next, in heartbeat intervals of the workers.
--- a/fallpulley/controller/record_dispatch.py
+++ b/fallpulley/controller/record_dispatch.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from fallpulley.context import ControllerContext
 from fallpulley.controller.job_sync import JobSync
 from fallpulley.controller.shard_lifecycle import ShardLifecycle
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extensions
 from fallpulley.jobs.job_index import JOB_PREFIX
-from fallpulley.records.keys import FORMAT_KEY, SESSION_PREFIX
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.keys import FORMAT_KEY, SESSION_PREFIX
+from fallpulley.shared_records.registry import Registry
 
 
 class RecordDispatcher:
--- a/fallpulley/controller/router.py
+++ b/fallpulley/controller/router.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from http import HTTPStatus
 
-from fallpulley.context import ControllerContext
 from fallpulley.controller.health import Health
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import OperatorRequest, Request
 from fallpulley.extensions import Extensions
 from fallpulley.heartbeats.handler import HeartbeatHandler
--- a/fallpulley/controller/shard_lifecycle.py
+++ b/fallpulley/controller/shard_lifecycle.py
@@ -4,16 +4,16 @@
 
 import logging
 
-from fallpulley.context import ControllerContext
 from fallpulley.controller.job_sync import JobSync
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extensions
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import OwnerProcess, ShardRecord
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shard_sizes import change_budget_share
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import OwnerProcess, ShardRecord
+from fallpulley.shared_records.writer import ShardWriter
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -7,7 +7,6 @@
 import msgspec
 
 from fallpulley.balancing.balancer import ShardBalancer
-from fallpulley.context import ControllerContext
 from fallpulley.controller.cancellation_announcer import CancellationAnnouncer
 from fallpulley.controller.health import Health
 from fallpulley.controller.job_sync import JobSync
@@ -17,6 +16,7 @@
 from fallpulley.controller.router import Router
 from fallpulley.controller.shard_lifecycle import ShardLifecycle
 from fallpulley.controller_access import ControllerAccess
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extensions
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
@@ -26,12 +26,12 @@
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.peers import Peers
 from fallpulley.persistence.job_persistence import JobPersistence
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.scheduling.planner import Planner
 from fallpulley.settings import Settings
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.owned_shards import OwnedShards
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 
 # Minimum number of watches that return within one session length: each return shows that this
--- a/fallpulley/controller_access.py
+++ b/fallpulley/controller_access.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
-from fallpulley.records.registry import Registry
 from fallpulley.shards.owned_shards import OwnedShards
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteCallback
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -17,7 +17,7 @@
 from fallpulley.duties.registry import DutyRegistry
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.records.keys import SHARD_PREFIX
+from fallpulley.shared_records.keys import SHARD_PREFIX
 
 # Most bytes that the machine ids of one intent may take, as a share of the largest record value.
 MAX_INTENT_VALUE_SHARE = 0.5
--- a/fallpulley/duties/ownership.py
+++ b/fallpulley/duties/ownership.py
@@ -7,7 +7,7 @@
 from fallpulley.controller_access import MAX_WRITE_WAIT_SECONDS, ControllerAccess
 from fallpulley.duties.messages import Duty, DutyRecord, duty_key
 from fallpulley.duties.registry import DutyRegistry
-from fallpulley.records.keys import LEADER_KEY
+from fallpulley.shared_records.keys import LEADER_KEY
 from fallpulley.state.transactions import Change, RequestPriority, WriteResult
 
 # Time from the result of a claim until the same duty may be claimed again, in seconds.
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -10,8 +10,8 @@
 from fallpulley.duties.registry import DutyRegistry
 from fallpulley.extensions import Extension
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.records.shard_record import OwnerProcess
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.shard_record import OwnerProcess
 
 
 class DutiesService(Extension):
--- a/fallpulley/extensions.py
+++ b/fallpulley/extensions.py
@@ -10,8 +10,8 @@
 
 from fallpulley.effects import OperatorRequest
 from fallpulley.fleet.action_guard import ActionGuard, PermitAll
-from fallpulley.records.shard_record import OwnerProcess
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.shard_record import OwnerProcess
 
 ExtensionType = TypeVar("ExtensionType", bound="Extension")
 
--- a/fallpulley/fleet/abandonment.py
+++ b/fallpulley/fleet/abandonment.py
@@ -7,11 +7,11 @@
 from enum import Enum
 
 from fallpulley.cloud.messages import DEFAULT_BOOT_SECONDS, FAILED_STATE
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.shard import FAULTY_MACHINE_JOBS, Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.workers.machine import Machine
 
 log = logging.getLogger(__name__)
--- a/fallpulley/fleet/adoption.py
+++ b/fallpulley/fleet/adoption.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 
 from fallpulley.cloud.messages import FAILED_STATE, ListedMachine
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.rentals import Rentals
 from fallpulley.fleet.shard_choice import ShardChoice
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import MachineEntry
-from fallpulley.records.writer import ShardWriter
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import MachineEntry
+from fallpulley.shared_records.writer import ShardWriter
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fallpulley.cloud.messages import DEFAULT_BOOT_SECONDS, MachineType
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.abandonment import AbandonReason, MachineAbandoner
 from fallpulley.fleet.demand import demand_groups
 from fallpulley.fleet.provider import MachineProvider
@@ -11,9 +11,9 @@
 from fallpulley.fleet.smoothing import DemandSmoother
 from fallpulley.fleet.supply import added_supply, machine_supply, rented_supply
 from fallpulley.mesh.messages import MachineRequest
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 
 # Least time between two sizings of a shard's fleet, in seconds: far below any boot time.
 SIZING_INTERVAL_SECONDS = 1.0
--- a/fallpulley/fleet/catalog.py
+++ b/fallpulley/fleet/catalog.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from fallpulley.cloud.messages import Catalog, MachineType
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.fleet.cloud import CloudClient, decode_ok
-from fallpulley.records.keys import CATALOG_KEY
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.keys import CATALOG_KEY
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, RequestPriority, Write, ignore_result
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/fleet/cloud.py
+++ b/fallpulley/fleet/cloud.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response, ResponseHandler
 from fallpulley.state.token_bucket import TokenBucket
 
--- a/fallpulley/fleet/machine_list.py
+++ b/fallpulley/fleet/machine_list.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from fallpulley.cloud.messages import LIST_PAGE_SIZE, ListedMachine, MachineList
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.fleet.cloud import CloudClient, decode_ok
 
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -6,7 +6,7 @@
 
 from fallpulley.cloud.messages import ListedMachine, MachineType, RentalRequest
 from fallpulley.cloud.offer import Offer
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.adoption import Adoption
 from fallpulley.fleet.catalog import CatalogUpdater
@@ -15,9 +15,9 @@
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.rentals import Rentals
 from fallpulley.fleet.shard_choice import ShardChoice
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import MachineEntry
-from fallpulley.records.writer import ShardWriter
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import MachineEntry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 
 
--- a/fallpulley/fleet/releases.py
+++ b/fallpulley/fleet/releases.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from fallpulley.cloud.messages import MAX_RELEASED_MACHINES, ReleaseRequest
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.cloud import CALL_TIMEOUT_SECONDS, CloudClient
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/fleet/rentals.py
+++ b/fallpulley/fleet/rentals.py
@@ -16,7 +16,7 @@
     RentalResponse,
 )
 from fallpulley.cloud.offer import Offer
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.catalog import CatalogUpdater
@@ -24,9 +24,9 @@
 from fallpulley.fleet.refusals import RefusedOffers
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.shard_choice import ShardChoice
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import MachineEntry
-from fallpulley.records.writer import ShardWriter
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import MachineEntry
+from fallpulley.shared_records.writer import ShardWriter
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/fleet/shard_choice.py
+++ b/fallpulley/fleet/shard_choice.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 
 
 class ShardChoice:
--- a/fallpulley/fleet/supply.py
+++ b/fallpulley/fleet/supply.py
@@ -6,8 +6,8 @@
 
 from fallpulley.cloud.messages import MachineType, RentalRequest
 from fallpulley.fleet.sizing import SupplyUnit
-from fallpulley.records.shard_record import MachineEntry
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.shard_record import MachineEntry
 from fallpulley.workers.machine import Machine
 
 # How long a new machine counts as supply without coming online, in boot times of its type. Some
--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.heartbeats.responses import HeartbeatResponder
 from fallpulley.shards.agent import ShardAgent
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.heartbeats.deferral import DeferredHeartbeats
 from fallpulley.heartbeats.responses import HeartbeatResponder
 from fallpulley.membership.leadership import Leadership
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.owned_shards import OwnedShards
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import Heartbeat, Redirect, parse_heartbeat
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.messages import Submission
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import HeartbeatResponse, TaskCommand
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JOB_PREFIX, JobIndex
 from fallpulley.jobs.job_writes import write_interactive
@@ -28,10 +28,10 @@
 from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
 from fallpulley.jobs.shard_choice import ShardChooser
 from fallpulley.jobs.validation import rejection_reason
-from fallpulley.records.keys import TEAM_PREFIX
-from fallpulley.records.messages import TeamShard
-from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
+from fallpulley.shared_records.keys import TEAM_PREFIX
+from fallpulley.shared_records.messages import TeamShard
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/jobs/cancellation.py
+++ b/fallpulley/jobs/cancellation.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JOB_PREFIX, JobEntry, JobIndex
 from fallpulley.jobs.job_writes import write_interactive
--- a/fallpulley/jobs/dependencies.py
+++ b/fallpulley/jobs/dependencies.py
@@ -5,11 +5,11 @@
 import logging
 import math
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.job_index import JobEntry, JobIndex
 from fallpulley.jobs.messages import PRIORITY_LEVELS, JobState, Submission
 from fallpulley.jobs.pipelines import DependencyNode, PipelineChanges, Pipelines
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.registry import Registry
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/jobs/job_writes.py
+++ b/fallpulley/jobs/job_writes.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 
 # How long a write that a user waits for may stay queued before it is dropped. The user is told to
--- a/fallpulley/jobs/open_job.py
+++ b/fallpulley/jobs/open_job.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from fallpulley.jobs.completion import JobProgress
-from fallpulley.jobs.job_parts import (
+from fallpulley.jobs.messages import PRIORITY_LEVELS, JobKind, JobRecord, Submission
+from fallpulley.jobs.open_job_state import (
     GangState,
     ProcessorEstimate,
     RemainingTime,
@@ -11,7 +12,6 @@
     RunTimeObservations,
     TaskQueue,
 )
-from fallpulley.jobs.messages import PRIORITY_LEVELS, JobKind, JobRecord, Submission
 from fallpulley.jobs.pipelines import DependencyNode
 from fallpulley.resources import Resources
 from fallpulley.workers.machine import TaskRun
--- a/fallpulley/jobs/responses.py
+++ b/fallpulley/jobs/responses.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JobEntry, JobIndex
 from fallpulley.jobs.messages import FINAL_STATES, JobState, JobStatus
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.admission import JobAdmission
 from fallpulley.jobs.cancellation import JobCancellation
@@ -19,8 +19,8 @@
 from fallpulley.jobs.responses import JobResponder
 from fallpulley.jobs.shard_choice import ShardChooser
 from fallpulley.jobs.work_estimate import estimated_work_by_priority
-from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
--- a/fallpulley/jobs/shard_choice.py
+++ b/fallpulley/jobs/shard_choice.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping
 
 from fallpulley.jobs.messages import Submission
-from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
+from fallpulley.shared_records.registry import Registry
 
 
 class ShardChooser:
--- a/fallpulley/membership/format_agreement.py
+++ b/fallpulley/membership/format_agreement.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.membership_writes import MembershipWrites
 from fallpulley.record_format import NEWEST_FORMAT
-from fallpulley.records.keys import FORMAT_KEY
-from fallpulley.records.messages import FormatMarker
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.keys import FORMAT_KEY
+from fallpulley.shared_records.messages import FormatMarker
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, RequestPriority
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/membership/leader_election.py
+++ b/fallpulley/membership/leader_election.py
@@ -4,11 +4,11 @@
 
 from typing import Protocol
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.membership_writes import MembershipWrites
 from fallpulley.membership.session import SessionLease
-from fallpulley.records.keys import LEADER_KEY
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.keys import LEADER_KEY
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/membership/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -4,15 +4,15 @@
 
 from typing import Protocol
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.format_agreement import FormatAgreement
 from fallpulley.membership.leader_election import ElectionPolicy, LeaderElection
 from fallpulley.membership.membership_writes import MembershipWrites
 from fallpulley.membership.session import SessionLease
 from fallpulley.membership.shard_assignment import ShardAssignment
 from fallpulley.membership.shard_creation import ShardCreation, ShardCreationPolicy
-from fallpulley.records.registry import Registry
 from fallpulley.shard_sizes import machines_per_shard
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.watch_cache import WatchCache
 
 
--- a/fallpulley/membership/membership_writes.py
+++ b/fallpulley/membership/membership_writes.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.state.transactions import Change, RequestPriority, Write
 
 log = logging.getLogger(__name__)
--- a/fallpulley/membership/session.py
+++ b/fallpulley/membership/session.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.record_format import NEWEST_FORMAT
-from fallpulley.records.keys import SESSION_PREFIX
-from fallpulley.records.messages import LeaseGrant, Session
+from fallpulley.shared_records.keys import SESSION_PREFIX
+from fallpulley.shared_records.messages import LeaseGrant, Session
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/membership/shard_assignment.py
+++ b/fallpulley/membership/shard_assignment.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.membership_writes import MembershipWrites
 from fallpulley.membership.session import SessionLease
-from fallpulley.records.keys import SESSION_PREFIX, SHARD_PREFIX
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import OwnerProcess, ShardRecord
-from fallpulley.records.versioned import Versioned
+from fallpulley.shared_records.keys import SESSION_PREFIX, SHARD_PREFIX
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import OwnerProcess, ShardRecord
+from fallpulley.shared_records.versioned import Versioned
 from fallpulley.state.transactions import Change
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/membership/shard_creation.py
+++ b/fallpulley/membership/shard_creation.py
@@ -5,10 +5,10 @@
 import itertools
 from typing import Protocol
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.shard_assignment import ShardAssignment
-from fallpulley.records.registry import Registry
 from fallpulley.shard_sizes import FULL_RECORD_SHARE, shards_needed
+from fallpulley.shared_records.registry import Registry
 
 
 class ShardCreationPolicy(Protocol):
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import ignore_response
 from fallpulley.mesh.messages import (
     PEER_MESSAGES_PATH,
--- a/fallpulley/persistence/job_persistence.py
+++ b/fallpulley/persistence/job_persistence.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.jobs.completion import chunk_capacity, chunk_name
 from fallpulley.jobs.job_index import JOB_PREFIX, JobEntry
--- a/fallpulley/persistence/progress_loading.py
+++ b/fallpulley/persistence/progress_loading.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.jobs.completion import is_chunk_name
 from fallpulley.jobs.messages import JOB_ID_PATTERN
--- a/fallpulley/scheduling/age_bound.py
+++ b/fallpulley/scheduling/age_bound.py
@@ -7,7 +7,7 @@
 
 import math
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.queue import PendingJob, queue_order
 from fallpulley.shards.shard import Shard
--- a/fallpulley/scheduling/pending_jobs.py
+++ b/fallpulley/scheduling/pending_jobs.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.queue import PendingJob, queue_order
--- a/fallpulley/scheduling/planner.py
+++ b/fallpulley/scheduling/planner.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.service import JobService
-from fallpulley.records.registry import Registry
 from fallpulley.scheduling.shard_plan import plan_shard
 from fallpulley.shards.agent import ShardAgent
+from fallpulley.shared_records.registry import Registry
 
 # The wait before the next plan, as a multiple of the duration of the last one: planning takes about
 # a twentieth of the time. The wait is limited to MAX_WAIT_INTERVALS heartbeat intervals, since free
--- a/fallpulley/scheduling/preemption.py
+++ b/fallpulley/scheduling/preemption.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Plan
 from fallpulley.placement.queue import PendingJob, is_eligible
--- a/fallpulley/scheduling/shard_plan.py
+++ b/fallpulley/scheduling/shard_plan.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.placement.plan import Booking, Plan, make_plan
 from fallpulley.placement.victims import Preemption
-from fallpulley.records.registry import Registry
 from fallpulley.scheduling.pending_jobs import pending_jobs
 from fallpulley.scheduling.preemption import preemptions_for
 from fallpulley.scheduling.snapshot_builder import machine_snapshots
 from fallpulley.settings import Team
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
 
 
 class PlacementDecision(msgspec.Struct):
--- a/fallpulley/serve.py
+++ b/fallpulley/serve.py
@@ -36,8 +36,8 @@
     WORKER_CALL_SOCKET_SHARE,
     Settings,
 )
+from fallpulley.wire.adaptive_limit import AdaptiveLimit
 from fallpulley.wire.client import Client, ClientLimits
-from fallpulley.wire.limit import AdaptiveLimit
 from fallpulley.wire.server import Server
 
 log = logging.getLogger(__name__)
--- a/fallpulley/settings.py
+++ b/fallpulley/settings.py
@@ -89,7 +89,7 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct, frozen=True):
+class WorkerSettings(msgspec.Struct, frozen=True):
     """The intervals of the workers' protocol, in seconds."""
 
     report_s: Positive  # time between two heartbeats
@@ -151,7 +151,7 @@
 
     nodes: Annotated[int, Meta(ge=1)]  # number of controllers
     zones: list[Name]
-    workers: Workers
+    workers: WorkerSettings
     state: StateLimits
     cloud: CloudLimits
     skew_ms: NotNegative = 0.0  # maximum difference between the clocks of two machines
@@ -190,7 +190,7 @@
     enabled: bool = False
 
 
-class Operators(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class OperatorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The operators' settings, all optional. docs/operations.md explains each."""
 
     # Duration of a controller's session, as a share of a worker's lease: a controller that has not
@@ -226,7 +226,7 @@
     endpoints: Endpoints
     facts: Facts
     peers: list[PeerSettings] = []
-    operators: Operators = Operators()
+    operators: OperatorSettings = OperatorSettings()
 
     @property
     def controller_ids(self) -> list[str]:
@@ -295,7 +295,7 @@
     """Read one operators' file and check it by itself, so that errors name the file."""
     try:
         table = _read_toml(path)
-        msgspec.convert(table, Operators)
+        msgspec.convert(table, OperatorSettings)
     except msgspec.ValidationError as error:
         raise SettingsError(f"{path}: {error}") from None
     except OSError as error:
@@ -340,7 +340,7 @@
         raise SettingsError("facts.teams: a name stands twice")
 
 
-def _check_workers(workers: Workers) -> None:
+def _check_workers(workers: WorkerSettings) -> None:
     if workers.report_s >= workers.lease_s:
         raise SettingsError("facts.workers.report_s: must be below facts.workers.lease_s")
     if workers.lease_s * MIN_CANCEL_LEASES >= workers.cancel_s:
--- a/fallpulley/shards/agent.py
+++ b/fallpulley/shards/agent.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.shards import job_stops
 from fallpulley.shards.commands import MachineCommands
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
--- a/fallpulley/shards/direct_commands.py
+++ b/fallpulley/shards/direct_commands.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
--- a/fallpulley/shards/fencing_prober.py
+++ b/fallpulley/shards/fencing_prober.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.shards.direct_commands import WORKER_STATUSES, DirectCommands
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
--- a/fallpulley/shards/heartbeat_intake.py
+++ b/fallpulley/shards/heartbeat_intake.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.shards.commands import MachineCommands
 from fallpulley.shards.lease_expiry import LeaseExpiry
 from fallpulley.shards.preemption_notice import stop_tasks_for_preemption
--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from fallpulley.context import ControllerContext
-from fallpulley.records.shard_record import MachineEntry
-from fallpulley.records.writer import ShardWriter
+from fallpulley.controller_context import ControllerContext
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.shard_record import MachineEntry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.workers.machine import Machine
 
 # How many machines one call of `update_all` compares, which takes a core about a millisecond.
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -11,15 +11,15 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.messages import JobKind, JobRecord
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.jobs.pipelines import DependencyNode
 from fallpulley.placement.estimate import Corrections, estimate_run_time
 from fallpulley.placement.plan import Booking
-from fallpulley.records.shard_record import MachineEntry, ShardRecord
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.decisions import NULL_DECISION_SINK, DecisionSink
+from fallpulley.shared_records.shard_record import MachineEntry, ShardRecord
 from fallpulley.timing import CLOCK_DRIFT
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import TaskState
--- a/fallpulley/shards/token_check.py
+++ b/fallpulley/shards/token_check.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import Heartbeat
--- a/fallpulley/records/layout.py
+++ b/fallpulley/shared_records/layout.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from fallpulley.records.keys import SHARD_PREFIX, page_key
-from fallpulley.records.machine_encoding import Machines, without_addresses
-from fallpulley.records.shard_change import RecordLimits, RecordUpdate
-from fallpulley.records.shard_record import MachinePage, ShardRecord, encode_page
+from fallpulley.shared_records.keys import SHARD_PREFIX, page_key
+from fallpulley.shared_records.machine_encoding import Machines, without_addresses
+from fallpulley.shared_records.shard_change import RecordLimits, RecordUpdate
+from fallpulley.shared_records.shard_record import MachinePage, ShardRecord, encode_page
 from fallpulley.state.transactions import MAX_TRANSACTION_BYTES, Change
 
 # Maximum number of machines in a single value; more are laid out in pages. Every controller
--- a/fallpulley/records/machine_shapes.py
+++ b/fallpulley/shared_records/machine_shapes.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from fallpulley.cloud.messages import MachineType
-from fallpulley.records.shard_record import ShardRecord
-from fallpulley.records.versioned import Versioned
+from fallpulley.shared_records.shard_record import ShardRecord
+from fallpulley.shared_records.versioned import Versioned
 
 
 class MachineShape(NamedTuple):
--- a/fallpulley/records/page_assembly.py
+++ b/fallpulley/shared_records/page_assembly.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from fallpulley.records.machine_encoding import Machines
-from fallpulley.records.shard_record import MachinePage, ShardHeader, ShardRecord
-from fallpulley.records.versioned import Versioned
+from fallpulley.shared_records.machine_encoding import Machines
+from fallpulley.shared_records.shard_record import MachinePage, ShardHeader, ShardRecord
+from fallpulley.shared_records.versioned import Versioned
 
 
 class PageAssembly:
--- a/fallpulley/records/paged_update.py
+++ b/fallpulley/shared_records/paged_update.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from fallpulley.records.keys import page_key
-from fallpulley.records.layout import (
+from fallpulley.shared_records.keys import page_key
+from fallpulley.shared_records.layout import (
     MAX_PAGE_MACHINES,
     can_merge_pages,
     header_change,
@@ -11,9 +11,9 @@
     merge_pages,
     page_change,
 )
-from fallpulley.records.machine_encoding import Machines
-from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
-from fallpulley.records.shard_record import MachinePage, ShardRecord
+from fallpulley.shared_records.machine_encoding import Machines
+from fallpulley.shared_records.shard_change import RecordLimits, RecordUpdate, ShardChange
+from fallpulley.shared_records.shard_record import MachinePage, ShardRecord
 from fallpulley.state.transactions import Change
 
 
--- a/fallpulley/records/pending_changes.py
+++ b/fallpulley/shared_records/pending_changes.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fallpulley.records.shard_record import Machines, ShardRecord
+from fallpulley.shared_records.shard_record import Machines, ShardRecord
 
 
 class PendingChanges(msgspec.Struct):
--- a/fallpulley/records/record_update.py
+++ b/fallpulley/shared_records/record_update.py
@@ -7,15 +7,15 @@
 
 from __future__ import annotations
 
-from fallpulley.records.keys import SHARD_PREFIX
-from fallpulley.records.layout import (
+from fallpulley.shared_records.keys import SHARD_PREFIX
+from fallpulley.shared_records.layout import (
     MAX_SINGLE_VALUE_MACHINES,
     encode_single_value,
     split_into_pages,
 )
-from fallpulley.records.paged_update import PagedUpdate
-from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
-from fallpulley.records.shard_record import ShardRecord
+from fallpulley.shared_records.paged_update import PagedUpdate
+from fallpulley.shared_records.shard_change import RecordLimits, RecordUpdate, ShardChange
+from fallpulley.shared_records.shard_record import ShardRecord
 from fallpulley.state.transactions import Change
 
 
--- a/fallpulley/records/registry.py
+++ b/fallpulley/shared_records/registry.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from fallpulley.cloud.messages import Catalog, MachineType
-from fallpulley.records.decoding import decode_or_none
-from fallpulley.records.keys import (
+from fallpulley.shared_records.decoding import decode_or_none
+from fallpulley.shared_records.keys import (
     CATALOG_KEY,
     FORMAT_KEY,
     LEADER_KEY,
@@ -19,17 +19,17 @@
     TEAM_PREFIX,
     parse_page_key,
 )
-from fallpulley.records.machine_encoding import entry_cache
-from fallpulley.records.machine_shapes import MachineShape, ProcessorCounts
-from fallpulley.records.messages import FormatMarker, ReleaseRecord, Session, TeamShard
-from fallpulley.records.page_assembly import PageAssembly
-from fallpulley.records.shard_record import (
+from fallpulley.shared_records.machine_encoding import entry_cache
+from fallpulley.shared_records.machine_shapes import MachineShape, ProcessorCounts
+from fallpulley.shared_records.messages import FormatMarker, ReleaseRecord, Session, TeamShard
+from fallpulley.shared_records.page_assembly import PageAssembly
+from fallpulley.shared_records.shard_record import (
     OwnerProcess,
     ShardRecord,
     decode_page,
     decode_shard_header,
 )
-from fallpulley.records.versioned import Versioned
+from fallpulley.shared_records.versioned import Versioned
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/records/release_records.py
+++ b/fallpulley/shared_records/release_records.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from fallpulley.record_format import RecordFormat
-from fallpulley.records.keys import RELEASE_PREFIX
-from fallpulley.records.messages import ReleaseRecord
+from fallpulley.shared_records.keys import RELEASE_PREFIX
+from fallpulley.shared_records.messages import ReleaseRecord
 from fallpulley.state.transactions import Change
 
 # Maximum number of machines in one release record; one request to the cloud releases up to 100.
--- a/fallpulley/records/shard_change.py
+++ b/fallpulley/shared_records/shard_change.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.records.machine_encoding import MachineEntry, Machines
+from fallpulley.shared_records.machine_encoding import MachineEntry, Machines
 from fallpulley.state.transactions import Change
 
 
--- a/fallpulley/records/shard_record.py
+++ b/fallpulley/shared_records/shard_record.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from fallpulley.records.machine_encoding import (
+from fallpulley.shared_records.machine_encoding import (
     MachineEntry,
     Machines,
     pack_groups,
--- a/fallpulley/records/transactions.py
+++ b/fallpulley/shared_records/transactions.py
@@ -7,15 +7,15 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
-from fallpulley.records.keys import SHARD_PREFIX
-from fallpulley.records.pending_changes import PendingChanges
-from fallpulley.records.record_update import update_record
-from fallpulley.records.registry import Registry
-from fallpulley.records.release_records import release_changes, select_releasable
-from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
-from fallpulley.records.shard_record import MachineEntry, Machines, ShardRecord
-from fallpulley.records.versioned import Versioned
+from fallpulley.controller_context import ControllerContext
+from fallpulley.shared_records.keys import SHARD_PREFIX
+from fallpulley.shared_records.pending_changes import PendingChanges
+from fallpulley.shared_records.record_update import update_record
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.release_records import release_changes, select_releasable
+from fallpulley.shared_records.shard_change import RecordLimits, RecordUpdate, ShardChange
+from fallpulley.shared_records.shard_record import MachineEntry, Machines, ShardRecord
+from fallpulley.shared_records.versioned import Versioned
 from fallpulley.state.transactions import MAX_TRANSACTION_BYTES, Change
 
 # Changes of a transaction reserved for the record of machines to be released.
--- a/fallpulley/records/writer.py
+++ b/fallpulley/shared_records/writer.py
@@ -7,21 +7,21 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
-from fallpulley.records.pending_changes import PendingChanges
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import MachineEntry, ShardRecord
-from fallpulley.records.transactions import (
-    ShardTransaction,
-    TransactionBuilder,
-    without_previous_owners,
-)
-from fallpulley.records.versioned import Versioned
+from fallpulley.controller_context import ControllerContext
 from fallpulley.shard_sizes import (
     COMPACT_ENTRY_BYTES,
     FIRST_FORMAT_ENTRY_BYTES,
     FULL_RECORD_SHARE,
 )
+from fallpulley.shared_records.pending_changes import PendingChanges
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import MachineEntry, ShardRecord
+from fallpulley.shared_records.transactions import (
+    ShardTransaction,
+    TransactionBuilder,
+    without_previous_owners,
+)
+from fallpulley.shared_records.versioned import Versioned
 from fallpulley.state.transactions import RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
--- a/fallpulley/shares/reconciler.py
+++ b/fallpulley/shares/reconciler.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
+from fallpulley.controller_context import ControllerContext
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.shares.messages import ShareTable
 from fallpulley.shares.targets import Move, plan_moves, target_processors
 from fallpulley.state.token_bucket import TokenBucket
--- a/fallpulley/shares/record.py
+++ b/fallpulley/shares/record.py
@@ -8,7 +8,7 @@
 
 from fallpulley.controller_access import ControllerAccess
 from fallpulley.jobs.service import JobService
-from fallpulley.records.keys import SHARES_KEY
+from fallpulley.shared_records.keys import SHARES_KEY
 from fallpulley.shares.messages import ShareTable
 from fallpulley.shares.table import Deployment
 from fallpulley.state.transactions import Change, RequestPriority, WriteCallback
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -6,8 +6,8 @@
 from fallpulley.effects import OperatorRequest
 from fallpulley.extensions import Extension
 from fallpulley.jobs.service import JobService
-from fallpulley.records.keys import SHARES_KEY
-from fallpulley.records.writer import ShardWriter
+from fallpulley.shared_records.keys import SHARES_KEY
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.shares.policy_runner import PolicyRunner
 from fallpulley.shares.reconciler import Reconciler, Targets
 from fallpulley.shares.record import ShareRecord
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -5,11 +5,11 @@
 import logging
 from collections.abc import Callable
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extension
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import OwnerProcess
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import OwnerProcess
 from fallpulley.standby.failover import ExpectedTasks, apply_replica, log_comparison
 from fallpulley.standby.follower import FollowedShard, Follower, ShardOwner
 from fallpulley.standby.messages import (
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -16,6 +16,7 @@
 
 from fallpulley.effects import Request
 from fallpulley.settings import split_address
+from fallpulley.wire.adaptive_limit import AdaptiveLimit
 from fallpulley.wire.connection import (
     END_OF_MESSAGE,
     HEAD_CACHE_SIZE,
@@ -23,7 +24,6 @@
     HttpConnection,
     content_headers,
 )
-from fallpulley.wire.limit import AdaptiveLimit
 
 log = logging.getLogger(__name__)
 
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from fallpulley.placement.snapshot import MachineSnapshot
-from fallpulley.records.shard_record import MachineEntry
 from fallpulley.resources import Resources
+from fallpulley.shared_records.shard_record import MachineEntry
 from fallpulley.workers.machine_state import (
     DepartureState,
     FencingState,
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -5,10 +5,10 @@
 import pytest
 
 from fallpulley.balancing.balancer import ShardBalancer
-from fallpulley.records.shard_record import MachineEntry
 from fallpulley.scheduling.snapshot_builder import machine_snapshots
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.shard_record import MachineEntry
 from fallpulley.workers.machine import Machine
 from tests.test_stories import busy
 
--- a/tests/test_day_end.py
+++ b/tests/test_day_end.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fallpulley.effects import PeerMessage, Request
-from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard
+from fallpulley.shared_records.shard_record import MachineEntry, ShardRecord, decode_shard
 from tests.test_stories import busy, machines_of, others, ready, submit
 from tests.world import LABELS, World
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -26,7 +26,7 @@
 from fallpulley.state.client import StateClient
 from fallpulley.state.token_bucket import TokenBucket
 from fallpulley.state.transactions import Change, RequestPriority, Write
-from fallpulley.wire.limit import AdaptiveLimit
+from fallpulley.wire.adaptive_limit import AdaptiveLimit
 from fallpulley.workers.machine import TaskRun
 from tests.world import job, settings
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,17 +10,22 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from fallpulley.records.keys import page_key
-from fallpulley.records.layout import (
+from fallpulley.shared_records.keys import page_key
+from fallpulley.shared_records.layout import (
     MAX_MERGED_MACHINES,
     MAX_PAGE_MACHINES,
     MAX_SINGLE_VALUE_MACHINES,
 )
-from fallpulley.records.machine_encoding import EntryCache
-from fallpulley.records.record_update import update_record
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
-from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard, encode_page
+from fallpulley.shared_records.machine_encoding import EntryCache
+from fallpulley.shared_records.record_update import update_record
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_change import RecordLimits, RecordUpdate, ShardChange
+from fallpulley.shared_records.shard_record import (
+    MachineEntry,
+    ShardRecord,
+    decode_shard,
+    encode_page,
+)
 
 SMALL = RecordLimits(True, True, 1945, 4)  # values of 2 KiB, the smallest transactions
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,7 +13,7 @@
 
 from fallpulley.effects import Request, Response
 from fallpulley.heartbeats.deferral import DeferredHeartbeat
-from fallpulley.records.shard_record import decode_shard
+from fallpulley.shared_records.shard_record import decode_shard
 from tests.test_day_end import replay, started
 from tests.test_stories import busy, others, ready, submit
 from tests.world import LABELS, World, job
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,11 +8,11 @@
 
 from fallpulley.effects import RESPONSE_TOO_LONG, Response
 from fallpulley.mesh.task_counts import TaskCountRotation
-from fallpulley.records.release_records import release_changes, select_releasable
 from fallpulley.shard_sizes import machines_per_shard
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.fencing_prober import FencingProber
 from fallpulley.shards.lease_watch import LeaseWatch
+from fallpulley.shared_records.release_records import release_changes, select_releasable
 from fallpulley.wire.server import ServerLimits
 from tests.world import LABELS, STATE, World, job, settings
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -15,8 +15,8 @@
 
 from fallpulley.cli import main
 from fallpulley.effects import OperatorRequest
-from fallpulley.records.shard_record import decode_shard
 from fallpulley.settings import SharesSettings, Team
+from fallpulley.shared_records.shard_record import decode_shard
 from fallpulley.shares.command import UsageError, parse_table, print_shares
 from fallpulley.shares.messages import SetShares, Share, SharesResponse, ShareTable
 from fallpulley.shares.policy import (
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from fallpulley.records.shard_record import decode_shard
+from fallpulley.shared_records.shard_record import decode_shard
 from tests.world import LABELS, World, job
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,8 +22,8 @@
 from fallpulley.jobs.messages import JobRecord
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.mesh import messages as mesh
-from fallpulley.records.messages import Session
-from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard
+from fallpulley.shared_records.messages import Session
+from fallpulley.shared_records.shard_record import MachineEntry, ShardRecord, decode_shard
 from tests.test_day_end import started
 from tests.test_edges import open_job
 from tests.test_stories import others, submit
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,8 +9,8 @@
 import anyio.abc
 
 from fallpulley.effects import Request
+from fallpulley.wire.adaptive_limit import AdaptiveLimit
 from fallpulley.wire.client import Client
-from fallpulley.wire.limit import AdaptiveLimit
 from fallpulley.wire.server import Server, response_head
 
 
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -56,9 +56,9 @@
 from fallpulley.jobs import stored_progress
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh import messages as mesh
-from fallpulley.records import machine_encoding as packing
-from fallpulley.records import messages as records
-from fallpulley.records import shard_record as blocks
+from fallpulley.shared_records import machine_encoding as packing
+from fallpulley.shared_records import messages as records
+from fallpulley.shared_records import shard_record as blocks
 from fallpulley.shares import messages as shares
 from fallpulley.standby import entries, replica
 from fallpulley.standby import messages as standby
@@ -183,9 +183,9 @@
             raise settings.SettingsError(str(error).replace(f"{directory}/", "")) from None
 
 
-def load_operators(body: bytes) -> settings.Operators:
+def load_operators(body: bytes) -> settings.OperatorSettings:
     """The operators' settings alone, without those of the deployed copy."""
-    return msgspec.convert(tomllib.loads(body.decode()), settings.Operators)
+    return msgspec.convert(tomllib.loads(body.decode()), settings.OperatorSettings)
 
 
 decode_entry = msgspec.json.Decoder(entries.Entry).decode
@@ -264,7 +264,7 @@
     "shares error": read_and_written(shares.ErrorResponse),
     # Settings.
     "settings": Kind(settings.Settings, load_settings, None),
-    "operators": Kind(settings.Operators, load_operators, None),
+    "operators": Kind(settings.OperatorSettings, load_operators, None),
 }
 
 # What decoders raise for malformed bytes.
