--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -20,7 +20,7 @@
 - `effects`: all, between the core and the network of one process.
 - `jobs`: `pipelines.Node`, `Outlook`, `Changes`, `service.Known`.
 - `placement`: all, in `plan`, `preempt` and `queue`.
-- `records`: `shard_change.RecordLimits`, `ShardChange`, `RecordUpdate`. `ShardRecord`,
+- `shared_records`: `shard_change.RecordLimits`, `ShardChange`, `RecordUpdate`. `ShardRecord`,
   `ShardHeader`, `MachinePage` and `MachineEntry` are what shard records are read into;
   `_StoredShard`, `_StoredPage`, `_Group`, `_Run` and `_RunGroup` are what stands in the bytes, and
   have goldens too.
