--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -71,7 +71,7 @@
         return False
 
     def on_rental_resolved(self, request_id: str) -> None:
-        """Delete the intents of a rental that the cloud has answered for good."""
+        """Delete the intents of a rental whose outcome the cloud has reported."""
         for key in self._intents_of_request(request_id):
             self._intents.delete(key)
 
--- a/fallpulley/fleet/adoption.py
+++ b/fallpulley/fleet/adoption.py
@@ -10,7 +10,7 @@
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.rentals import Rentals
-from fallpulley.fleet.shard_choice import ShardChoice
+from fallpulley.fleet.shard_chooser import MachineShardChooser
 from fallpulley.shared_records.registry import Registry
 from fallpulley.shared_records.shard_record import MachineEntry
 from fallpulley.shared_records.writer import ShardWriter
@@ -33,7 +33,7 @@
         writer: ShardWriter,
         rentals: Rentals,
         releases: Releases,
-        shard_choice: ShardChoice,
+        shard_chooser: MachineShardChooser,
         action_guard: Callable[[], ActionGuard],
     ) -> None:
         self.context = context
@@ -41,7 +41,7 @@
         self.writer = writer
         self.rentals = rentals
         self.releases = releases
-        self.shard_choice = shard_choice
+        self.shard_chooser = shard_chooser
         self._action_guard = action_guard
         self._term_began_at = float("-inf")
 
@@ -61,7 +61,7 @@
             or not self._action_guard().may_adopt()
         ):
             return False
-        shard_id = self.shard_choice.furthest_below_target()
+        shard_id = self.shard_chooser.furthest_below_target()
         if shard_id is None:
             return False
         log.info(
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -20,9 +20,9 @@
 # Largest share of the controller's time that sizing may take; the interval between two sizings is
 # lengthened accordingly, up to this many boot times.
 SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOT_TIMES = 1 / 50, 0.1
-# The same share if the cloud has answered a rental request since the last sizing. It is limited
-# because the cloud answers several times a second while thousands of machines are being rented, and
-# each sizing goes through all machines.
+# The same share if the cloud has responded to a rental request since the last sizing. It is limited
+# because the cloud responds several times a second while thousands of machines are being rented,
+# and each sizing goes through all machines.
 SIZING_TIME_SHARE_AFTER_RESPONSE = 1 / 5
 
 # How long after a failover a shard's work is not known yet, in heartbeat intervals: its machines
@@ -79,10 +79,10 @@
     def _wait_s(self, last_at: float, interval_s: float) -> float:
         """Return the seconds to wait from the last sizing to the next.
 
-        The wait is shorter if the cloud has answered a rental request since the last sizing, so
+        The wait is shorter if the cloud has responded to a rental request since the last sizing, so
         that a partly filled request is soon followed by a request for the next offer.
         """
-        if self.provider.rentals_answered_at > last_at:
+        if self.provider.last_rental_response_at > last_at:
             return interval_s * SIZING_TIME_SHARE / SIZING_TIME_SHARE_AFTER_RESPONSE
         return interval_s
 
--- a/fallpulley/fleet/provider.py
+++ b/fallpulley/fleet/provider.py
@@ -14,7 +14,7 @@
 from fallpulley.fleet.machine_list import MachineListReader
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.rentals import Rentals
-from fallpulley.fleet.shard_choice import ShardChoice
+from fallpulley.fleet.shard_chooser import MachineShardChooser
 from fallpulley.shared_records.registry import Registry
 from fallpulley.shared_records.shard_record import MachineEntry
 from fallpulley.shared_records.writer import ShardWriter
@@ -47,7 +47,7 @@
         self.cloud = CloudClient(context)
         self.catalog = CatalogUpdater(context, watch, registry, self.cloud)
         self.list_reader = MachineListReader(context, self.cloud, self._on_list_complete)
-        self.shard_choice = ShardChoice(registry, writer, shard_for_rental)
+        self.shard_chooser = MachineShardChooser(registry, writer, shard_for_rental)
         self.releases = Releases(context, watch, registry, self.cloud, action_guard)
         self.rentals = Rentals(
             context,
@@ -56,7 +56,7 @@
             self.cloud,
             self.catalog,
             self.releases,
-            self.shard_choice,
+            self.shard_chooser,
             action_guard,
         )
         self.adoption = Adoption(
@@ -65,7 +65,7 @@
             writer,
             self.rentals,
             self.releases,
-            self.shard_choice,
+            self.shard_chooser,
             action_guard,
         )
         self._term = 0
@@ -111,11 +111,11 @@
     @property
     def target_sizes(self) -> dict[str, int]:
         """Target number of machines of each shard, set by the leader; empty: no targets."""
-        return self.shard_choice.target_sizes
+        return self.shard_chooser.target_sizes
 
     @target_sizes.setter
     def target_sizes(self, sizes: dict[str, int]) -> None:
-        self.shard_choice.target_sizes = sizes
+        self.shard_chooser.target_sizes = sizes
 
     def adopt(
         self, machine_id: str, address: str, machine_type: str, zone: str, spot: bool
@@ -129,9 +129,9 @@
     # -- scale out -------------------------------------------------------------------------
 
     @property
-    def rentals_answered_at(self) -> float:
-        """When the cloud last answered a rental request, in seconds of the monotonic clock."""
-        return self.rentals.answered_at
+    def last_rental_response_at(self) -> float:
+        """When the cloud last responded to a rental request, in seconds of the monotonic clock."""
+        return self.rentals.last_response_at
 
     def refused_offers(self) -> set[Offer]:
         """Return the offers that were refused recently and are not to be requested yet."""
@@ -146,7 +146,7 @@
         self.rentals.scale_out(shard_id, offer, count)
 
     def resume_rental(self, request: RentalRequest, shard_id: str) -> None:
-        """Repeat a recorded request that may not have been answered yet."""
+        """Repeat a recorded request that may have had no response yet."""
         self.rentals.resume(request, shard_id)
 
     # -- scale in --------------------------------------------------------------------------
--- a/fallpulley/fleet/rentals.py
+++ b/fallpulley/fleet/rentals.py
@@ -23,7 +23,7 @@
 from fallpulley.fleet.cloud import CloudClient, decode_ok
 from fallpulley.fleet.refusals import RefusedOffers
 from fallpulley.fleet.releases import Releases
-from fallpulley.fleet.shard_choice import ShardChoice
+from fallpulley.fleet.shard_chooser import MachineShardChooser
 from fallpulley.shared_records.registry import Registry
 from fallpulley.shared_records.shard_record import MachineEntry
 from fallpulley.shared_records.writer import ShardWriter
@@ -54,7 +54,7 @@
         cloud: CloudClient,
         catalog: CatalogUpdater,
         releases: Releases,
-        shard_choice: ShardChoice,
+        shard_chooser: MachineShardChooser,
         action_guard: Callable[[], ActionGuard],
     ) -> None:
         self.context = context
@@ -63,9 +63,9 @@
         self.cloud = cloud
         self.catalog = catalog
         self.releases = releases
-        self.shard_choice = shard_choice
+        self.shard_chooser = shard_chooser
         self.pending: dict[str, PendingRental] = {}  # by request_id
-        self.answered_at = float("-inf")  # when the cloud last answered a rental request
+        self.last_response_at = float("-inf")  # when the cloud last responded to a rental request
         self._action_guard = action_guard
         self._refused_offers = RefusedOffers()
         self._term = 0
@@ -118,7 +118,7 @@
         self._send(request_id)
 
     def resume(self, request: RentalRequest, shard_id: str) -> None:
-        """Repeat a recorded request of this or an earlier leader that may not have been answered.
+        """Repeat a recorded request of this or an earlier leader that may have had no response.
 
         The cloud gives the same response to a repeated id, so no machine is rented twice.
         """
@@ -146,7 +146,7 @@
         now = self.context.now
         self._in_flight.discard(request.request_id)
         self._retry_at[request.request_id] = now + RENTAL_RETRY_SECONDS
-        self.answered_at = now
+        self.last_response_at = now
         if request.request_id not in self.pending:
             # Sent in an earlier term: the machines are rented nevertheless, so they are added.
             if response.ok:
@@ -170,25 +170,25 @@
     def _grant_machines(self, rental: PendingRental, response: Response) -> int:
         """Add the rented machines to a shard; return how many the cloud granted."""
         request = rental.request
-        answer = decode_ok(response, RentalResponse) or RentalResponse()
-        shard_id = self.shard_choice.for_rental(rental.shard_id)
+        rental_response = decode_ok(response, RentalResponse) or RentalResponse()
+        shard_id = self.shard_chooser.for_rental(rental.shard_id)
         log.info(
             "machines rented count=%d requested=%d type=%s zone=%s spot=%s shard=%s",
-            len(answer.machine_ids),
+            len(rental_response.machine_ids),
             request.count,
             request.machine_type,
             request.zone,
             request.spot,
             shard_id,
         )
-        for machine_id in answer.machine_ids:
+        for machine_id in rental_response.machine_ids:
             if (
                 machine_id not in self.registry.shard_of_machine
                 and machine_id not in self.releases.released_at
             ):
                 entry = MachineEntry("", request.machine_type, request.zone, request.spot)
                 self.writer.add(shard_id, machine_id, entry)
-        return len(answer.machine_ids)
+        return len(rental_response.machine_ids)
 
     def _on_refused(self, offer: Offer) -> None:
         """Back off from an offer that the cloud has refused or filled only in part."""
--- a/fallpulley/fleet/shard_choice.py
+++ b/fallpulley/fleet/shard_chooser.py
@@ -8,7 +8,7 @@
 from fallpulley.shared_records.writer import ShardWriter
 
 
-class ShardChoice:
+class MachineShardChooser:
     """Chooses shards by their target sizes; extensions may redirect rented machines."""
 
     def __init__(
--- a/fallpulley/heartbeats/__init__.py
+++ b/fallpulley/heartbeats/__init__.py
@@ -1,1 +1,1 @@
-"""Handling of machines' heartbeats: who answers them, when, and with which commands."""
+"""Handling of machines' heartbeats: who responds to them, when, and with which commands."""
--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -16,13 +16,13 @@
 
 
 class DeferredHeartbeat(msgspec.Struct):
-    """A heartbeat of an owned machine, which has been applied and is to be answered."""
+    """A heartbeat of an owned machine, which has been applied and is to be responded to."""
 
     pending_response: PendingResponse
     agent: ShardAgent
     machine: Machine
     newer: bool  # whether it was newer than the newest state known of the machine
-    deadline_at: float  # when it is answered at the latest, in seconds of the monotonic clock
+    deadline_at: float  # latest time of the response, in seconds of the monotonic clock
 
 
 class DeferredHeartbeats:
@@ -54,7 +54,7 @@
         self._recheck_waiting = True
 
     def respond(self) -> None:
-        """Answer the heartbeats that need not wait any longer.
+        """Respond to the heartbeats that need not wait any longer.
 
         While neither plans nor occupancy flags change, the waiting ones go on waiting until their
         deadlines: only the overdue ones, which come first, and the new ones are checked.
@@ -77,7 +77,7 @@
         return len(self.waiting)
 
     def _respond_to(self, heartbeats: list[DeferredHeartbeat]) -> list[DeferredHeartbeat]:
-        """Answer the heartbeats that need not wait, and return the others."""
+        """Respond to the heartbeats that need not wait, and return the others."""
         still_waiting = []
         for deferred in heartbeats:
             if self._must_wait(deferred):
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -37,8 +37,8 @@
 class HeartbeatHandler:
     """Handles `POST /checkin`.
 
-    Heartbeats of owned machines are applied, and answered later in the step or after the next plan.
-    Heartbeats of machines that are being granted to a shard wait for that. All others are
+    Heartbeats of owned machines are applied, and responded to later in the step or after the next
+    plan. Heartbeats of machines that are being granted to a shard wait for that. All others are
     redirected or refused at once.
     """
 
@@ -95,7 +95,7 @@
         self.deferred.recheck()
 
     def respond_to_deferred(self) -> None:
-        """Answer the heartbeats that need not wait any longer for a plan or an occupancy flag."""
+        """Respond to the heartbeats that need no longer wait for a plan or an occupancy flag."""
         self.deferred.respond()
 
     def _route(
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -33,7 +33,7 @@
 
 
 class HeartbeatResponder:
-    """Answers heartbeats of machines of owned shards; each answer renews the machine's lease."""
+    """Responds to heartbeats of owned shards' machines; each response renews a machine's lease."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
     def respond(
         self, pending_response: PendingResponse, agent: ShardAgent, machine: Machine, newer: bool
     ) -> None:
-        """Answer a heartbeat with the commands for its machine, or refuse it.
+        """Respond to a heartbeat with the commands for its machine, or refuse it.
 
         `newer` tells whether the heartbeat was newer than the newest state known of the machine.
         """
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -26,7 +26,7 @@
 )
 from fallpulley.jobs.queries import JobQueries
 from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
-from fallpulley.jobs.shard_choice import ShardChooser
+from fallpulley.jobs.shard_chooser import JobShardChooser
 from fallpulley.jobs.validation import rejection_reason
 from fallpulley.settings import Team
 from fallpulley.shared_records.keys import TEAM_PREFIX
@@ -48,7 +48,7 @@
         registry: Registry,
         index: JobIndex,
         teams: Mapping[str, Team],
-        shard_chooser: ShardChooser,
+        shard_chooser: JobShardChooser,
         queries: JobQueries,
         responder: JobResponder,
     ) -> None:
--- a/fallpulley/jobs/open_job.py
+++ b/fallpulley/jobs/open_job.py
@@ -124,7 +124,7 @@
 
     def next_pending_tasks(self, limit: int) -> list[int]:
         """Return the next tasks to start, at most `limit`: neither completed nor on a machine."""
-        return self.task_queue.first_waiting(limit, self.runs, self.progress.completed.contains)
+        return self.task_queue.first_pending(limit, self.runs, self.progress.completed.contains)
 
     def requeue(self, index: int) -> None:
         """Make a task start again unless it is completed.
--- a/fallpulley/jobs/open_job_state.py
+++ b/fallpulley/jobs/open_job_state.py
@@ -33,20 +33,20 @@
         self._indices: deque[int] = deque(range(task_count))
         self._is_queued = bytearray(b"\1") * task_count
 
-    def first_waiting(
+    def first_pending(
         self, limit: int, running: Container[int], is_completed: Callable[[int], bool]
     ) -> list[int]:
         """Return the first tasks that are neither running nor completed, at most `limit`."""
         indices = self._indices
         while indices and (indices[0] in running or is_completed(indices[0])):
             self._is_queued[indices.popleft()] = 0
-        waiting: list[int] = []
+        pending: list[int] = []
         for index in indices:
             if index not in running and not is_completed(index):
-                waiting.append(index)
-                if len(waiting) >= limit:
+                pending.append(index)
+                if len(pending) >= limit:
                     break
-        return waiting
+        return pending
 
     def requeue(self, index: int) -> None:
         """Put a task at the front of the queue, unless it is still in the queue.
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -17,7 +17,7 @@
 from fallpulley.jobs.pipelines import Pipelines
 from fallpulley.jobs.queries import JobQueries
 from fallpulley.jobs.responses import JobResponder
-from fallpulley.jobs.shard_choice import ShardChooser
+from fallpulley.jobs.shard_chooser import JobShardChooser
 from fallpulley.jobs.work_estimate import estimated_work_by_priority
 from fallpulley.settings import Team
 from fallpulley.shared_records.registry import Registry
@@ -57,7 +57,7 @@
             registry,
             self._index,
             self.teams,
-            ShardChooser(registry, self.teams, shard_of_team, self.estimated_work),
+            JobShardChooser(registry, self.teams, shard_of_team, self.estimated_work),
             self._queries,
             responder,
         )
--- a/fallpulley/jobs/shard_choice.py
+++ b/fallpulley/jobs/shard_chooser.py
@@ -9,7 +9,7 @@
 from fallpulley.shared_records.registry import Registry
 
 
-class ShardChooser:
+class JobShardChooser:
     """Chooses the shard with the least work per processor that a new job may use."""
 
     def __init__(
--- a/fallpulley/placement/machine_pool.py
+++ b/fallpulley/placement/machine_pool.py
@@ -36,7 +36,7 @@
 class MachinePool:
     """The profiles that a plan books in, and the machines that have room now.
 
-    Room means free processors or accelerators. Machines are identified by their index in the list
+    Room means free processors or GPUs. Machines are identified by their index in the list
     of snapshots. A profile is copied before the first booking in it.
 
     Only machines with room now can start a task, so they are a job's first candidates. The others
--- a/fallpulley/placement/profile.py
+++ b/fallpulley/placement/profile.py
@@ -11,7 +11,7 @@
 EPSILON = 1e-6
 
 
-# The estimated end of a running task, and the processors, accelerators and memory (GB) that it
+# The estimated end of a running task, and the processors, GPUs and memory (GB) that it
 # holds until then. A plain tuple for speed: one is made for every task of each changed machine.
 HeldResources = tuple[float, float, float, float]
 
--- a/fallpulley/resources.py
+++ b/fallpulley/resources.py
@@ -9,10 +9,10 @@
 
 
 class Resources(NamedTuple):
-    """Amounts of processors, accelerators and memory."""
+    """Amounts of processors, GPUs and memory."""
 
     cpus: float  # processors, may be a fraction
-    gpus: float  # accelerators
+    gpus: float
     memory_gb: float
 
     def fits_in(self, free: Resources) -> bool:
--- a/fallpulley/scheduling/snapshot_builder.py
+++ b/fallpulley/scheduling/snapshot_builder.py
@@ -21,7 +21,7 @@
 # The time that a task needs to exit after a stop, in addition to saving its checkpoint.
 STOP_SECONDS = 1.0
 # Lower bound of a machine type's fetch rate, so that a fetch time can be computed if the rate is 0.
-MIN_FETCH_GB_PER_S = 1e-3
+MIN_FETCH_GB_PER_SECOND = 1e-3
 
 
 def machine_snapshots(
@@ -90,7 +90,7 @@
             machine.entry.zone,
             machine.entry.spot,
             machine_type.capacity,
-            max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S),
+            max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_SECOND),
             slowness,
             running,
             images,
--- a/fallpulley/scheduling/team_limits.py
+++ b/fallpulley/scheduling/team_limits.py
@@ -1,4 +1,4 @@
-"""Limits of teams on processors and accelerators, applied to the pending jobs of a plan."""
+"""Limits of teams on processors and GPUs, applied to the pending jobs of a plan."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _Quota(msgspec.Struct):
-    """The processors and accelerators that a team may still use; infinity without a limit."""
+    """The processors and GPUs that a team may still use; infinity without a limit."""
 
     cpus: float
     gpus: float
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -13,8 +13,8 @@
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import (
     ExitReason,
-    Operation,
     TaskCommand,
+    TaskOperation,
     TaskState,
     TaskStatus,
 )
@@ -24,9 +24,9 @@
 # Bound to module names because they are read for every task or job: looking up a member of an
 # enum takes ten times as long.
 _GANG = JobKind.GANG
-_FORGET = Operation.FORGET
-_STOP = Operation.STOP
-_START = Operation.START
+_FORGET = TaskOperation.FORGET
+_STOP = TaskOperation.STOP
+_START = TaskOperation.START
 
 # Bound for the same reason: they are read for every task of a heartbeat.
 _EXITED = TaskState.EXITED
--- a/fallpulley/shards/decisions.py
+++ b/fallpulley/shards/decisions.py
@@ -30,7 +30,7 @@
         """Record that `observed_tasks` completed tasks of a job ran for `observed_s` s in total."""
 
     def correction_changed(self, job_class: str, factor: float) -> None:
-        """Record the new factor on the run time estimates of a job class."""
+        """Record the new factor on the run-time estimates of a job class."""
 
     def machine_granted(self, machine_id: str) -> None:
         """Record that the machine was granted to the shard."""
--- a/fallpulley/shares/messages.py
+++ b/fallpulley/shares/messages.py
@@ -26,7 +26,7 @@
     teams: list[Name] = []  # teams whose new jobs go to this shard
 
 
-class Operation(msgspec.Struct, frozen=True, array_like=True):
+class ShareOperation(msgspec.Struct, frozen=True, array_like=True):
     """A completed change of the table of shares, and the revision that it produced."""
 
     name: str
@@ -38,7 +38,7 @@
 
     revision: int = 0
     shares: dict[str, Share] = {}
-    operations: list[Operation] = []
+    operations: list[ShareOperation] = []
 
 
 class SetShares(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/fallpulley/shares/table.py
+++ b/fallpulley/shares/table.py
@@ -10,9 +10,9 @@
 from fallpulley.settings import Team
 from fallpulley.shares.messages import (
     MAX_REMEMBERED_OPERATIONS,
-    Operation,
     SetShares,
     Share,
+    ShareOperation,
     ShareTable,
 )
 
@@ -101,7 +101,7 @@
         raise ConflictError(table.revision)
     validate_shares(request.shares, deployment)
     revision = table.revision + 1
-    operations = [*table.operations, Operation(request.operation, revision)]
+    operations = [*table.operations, ShareOperation(request.operation, revision)]
     return ShareTable(revision, dict(request.shares), operations[-MAX_REMEMBERED_OPERATIONS:])
 
 
--- a/fallpulley/workers/messages.py
+++ b/fallpulley/workers/messages.py
@@ -52,7 +52,7 @@
 START_REFUSALS: Final = (ExitReason.NO_ROOM, ExitReason.ALREADY_THERE, ExitReason.UNKNOWN_TASK)
 
 
-class Operation(StrEnum):
+class TaskOperation(StrEnum):
     """What a machine is to do with a task; the values of the protocol's field `verb`."""
 
     START = "run"
@@ -117,7 +117,7 @@
 ):
     """What a machine is to do with one attempt of a task."""
 
-    operation: Operation
+    operation: TaskOperation
     task_id: str
     attempt: int = msgspec.field(name="try")
     grace_period_s: float | None = None  # for a stop: seconds the task has to save its work
