--- a/fallpulley/balancing/__init__.py
+++ b/fallpulley/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Shard balancing: target sizes of shards, moves of machines and hand-offs of shards."""
+"""Shard balancing: target sizes of shards, moves of machines and handoffs of shards."""
--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Moves of machines between shards, and hand-offs of shards whose owner gets no heartbeats."""
+"""Moves of machines between shards, and handoffs of shards whose owner gets no heartbeats."""
 
 from __future__ import annotations
 
--- a/fallpulley/fleet/abandonment.py
+++ b/fallpulley/fleet/abandonment.py
@@ -23,7 +23,7 @@
 # The least time that a new machine gets to come online, in worker leases.
 MIN_STARTUP_LEASES = 2
 # How long a machine may be offline, in worker leases, before it is abandoned: after that it most
-# likely no longer exists. Also the limit for a machine that our responses do not reach.
+# likely no longer exists. Also the limit for a machine that responses do not reach.
 MAX_OFFLINE_LEASES = 2.5
 # A machine is not faulty if at least this many tasks completed on it per job that failed there.
 COMPLETED_TASKS_PER_FAILED_JOB = 4
@@ -43,7 +43,7 @@
     """Why a machine is given back to the cloud; the values appear in log lines."""
 
     IDLE = "idle"
-    UNACKNOWLEDGED = "unacknowledged"  # its heartbeats arrive, but our responses do not reach it
+    UNACKNOWLEDGED = "unacknowledged"  # its heartbeats arrive, but responses do not reach it
     RELEASED = "released"  # the cloud has confirmed its release
     FAILED = "failed"  # the cloud lists it as stopped for good
     OFFLINE = "offline"
--- a/fallpulley/fleet/supply.py
+++ b/fallpulley/fleet/supply.py
@@ -14,7 +14,7 @@
 # machines take several boot times and a few never come online.
 COUNTED_BOOT_TIMES = 2.0
 
-# How long a machine that our responses do not reach still counts as supply while its heartbeats
+# How long a machine that responses do not reach still counts as supply while its heartbeats
 # arrive, in heartbeat intervals.
 MAX_UNACKNOWLEDGED_HEARTBEATS = 2.0
 
--- a/fallpulley/membership/shard_assignment.py
+++ b/fallpulley/membership/shard_assignment.py
@@ -84,7 +84,7 @@
         This restores the distribution after a failover, once the controller has been live without a
         shard for `SURPLUS_HANDOFF_LEASES`. The new owner proceeds as after any failover.
         """
-        owned = self._owned_shards()
+        owned = self._owned_shard_ids()
         new_owner = self.controller_without_shard() if len(owned) > 1 else None
         if new_owner is None or new_owner == self._context.controller_id:
             self._without_shard_since = None
@@ -112,7 +112,7 @@
             return self._context.controller_id
         return next(iter(free), None)
 
-    def _owned_shards(self) -> list[str]:
+    def _owned_shard_ids(self) -> list[str]:
         this_process = (self._context.controller_id, self._context.incarnation)
         return [
             shard_id
--- a/fallpulley/shards/adoption.py
+++ b/fallpulley/shards/adoption.py
@@ -47,7 +47,7 @@
 def _is_needed(job: OpenJob, task: TaskId) -> bool:
     """Return whether the job still needs an attempt of the task.
 
-    It does not if it is cancelled, has no task of this index, has completed the task, or already
+    It does not if it has ended, has no task of this index, has completed the task, or already
     has an attempt of it.
     """
     return not (
