--- a/fallpulley/shares/status.py
+++ b/fallpulley/shares/status.py
@@ -54,7 +54,7 @@
         moves = self._reconciler.feasible_moves(targets)
         return {shard_id for move in moves for shard_id in (move.source, move.destination)}
 
-    def _shard_state(self, shard_id: str, targets: Targets, has_pending_moves: bool) -> ShardState:
+    def _shard_state(self, shard_id: str, targets: Targets, has_moves: bool) -> ShardState:
         record, _ = self._access.registry.shards[shard_id]
         shard = self._access.owned_shards.shards.get(shard_id)
         draining = None
@@ -67,9 +67,7 @@
             round(targets.target[shard_id], 1) if has_shares else None,
             targets.actual[shard_id],
             len(record.machines),
-            self._progress(shard_id, shard, draining)
-            if has_pending_moves
-            else ShardProgress.CONVERGED,
+            self._progress(shard_id, shard, draining) if has_moves else ShardProgress.CONVERGED,
             draining,
         )
 
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -203,7 +203,7 @@
     # -- leadership ------------------------------------------------------------------------
 
     def leader_claim_delay_s(self) -> float:
-        """Return how long to leave a free leadership to others with newer replicas, in seconds.
+        """Return how long to leave a vacant leadership to others with newer replicas, in seconds.
 
         After that time this controller claims the leadership even if those others have sessions.
         """
