--- a/fallpulley/balancing/balancer.py
+++ b/fallpulley/balancing/balancer.py
@@ -1,19 +1,19 @@
-"""Moves of machines between shards, and hand-offs of shards whose owner gets no heartbeats."""
+"""Moves of machines between shards, and handoffs of shards whose owner gets no heartbeats."""
 
 from __future__ import annotations
 
 import logging
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.jobs.service import JobService
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.peers import Peers
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shard_sizes import target_sizes
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
         self.jobs = jobs
         self.peers = peers
 
-    def hand_off_if_unreached(self, shard: Shard) -> None:
+    def hand_off_if_unreachable(self, shard: Shard) -> None:
         """Hand a shard off to a peer if no machine's heartbeats have arrived recently.
 
         As this controller still reaches the state service and the peer, the fault may lie between
@@ -98,7 +98,7 @@
             if shard_id not in targets or receiver is None or shortages[receiver] < 1:
                 continue
             surplus = sizes[shard_id] - targets[shard_id]
-            if surplus < 1 or self.writer.has_moves(shard_id):
+            if surplus < 1 or self.writer.has_pending_moves(shard_id):
                 continue
             max_moved = max(1, int(MAX_MOVED_SHARE * sizes[shard_id]))
             count = min(max_moved, shortages[receiver], surplus)
@@ -111,7 +111,7 @@
         # those were scattered over shards, each shard would have room that jobs of the other
         # shards cannot use.
         idle.sort(
-            key=lambda machine: (machine.entry.spot, machine.scale_in.idle_since or 0.0),
+            key=lambda machine: (machine.entry.spot, machine.departure.idle_since or 0.0),
             reverse=True,
         )
         for machine in idle[:count]:
@@ -122,7 +122,7 @@
                 shard.shard_id,
                 receiver,
             )
-            machine.scale_in.leaving_shard = True
+            machine.departure.leaving_shard = True
             shard.occupancy_due[machine_id] = None
             shard.bookings.pop(machine_id, None)
             shard.needs_replan = True
--- a/fallpulley/controller/job_sync.py
+++ b/fallpulley/controller/job_sync.py
@@ -8,7 +8,7 @@
 from fallpulley.jobs.messages import JobState
 from fallpulley.jobs.service import JobService
 from fallpulley.shards.agent import ShardAgent
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.shards.shard import Shard
 
 
@@ -18,9 +18,9 @@
     A cancellation announced as durable takes precedence over an older copy of the job's record.
     """
 
-    def __init__(self, jobs: JobService, owned: OwnedShards) -> None:
+    def __init__(self, jobs: JobService, owned_shards: OwnedShards) -> None:
         self.jobs = jobs
-        self.owned = owned
+        self.owned_shards = owned_shards
         # Jobs announced as cancelled before the records that end them have arrived.
         self._cancelled_before_record: set[str] = set()
 
@@ -37,7 +37,7 @@
         Does nothing if this controller does not own the shard.
         """
         entry = self.jobs.entries[job_id]
-        agent = self.owned.agents.get(entry.shard_id)
+        agent = self.owned_shards.agents.get(entry.shard_id)
         if agent is None:
             return
         open_job = agent.shard.jobs.get(job_id)
@@ -53,7 +53,7 @@
 
     def add_open_jobs(self, shard: Shard) -> None:
         """Add the open jobs of a shard that was just acquired."""
-        for job_id in self.jobs.open_by_shard.get(shard.shard_id, ()):
+        for job_id in self.jobs.open_job_ids_by_shard.get(shard.shard_id, ()):
             self._add_job(shard, job_id, self.jobs.entries[job_id])
 
     def _add_job(self, shard: Shard, job_id: str, entry: JobEntry) -> None:
@@ -67,11 +67,11 @@
         They end whatever this controller's copy of their records still shows.
         """
         for job_id in job_ids:
-            for agent in self.owned.agents.values():
+            for agent in self.owned_shards.agents.values():
                 self._stop_cancelled(agent, job_id)
 
     def _stop_cancelled(self, agent: ShardAgent, job_id: str) -> None:
         open_job = agent.shard.jobs.get(job_id)
-        if open_job is not None and not open_job.cancelled:
+        if open_job is not None and not open_job.ended:
             self._cancelled_before_record.add(job_id)
             agent.end_job(open_job, True)
--- a/fallpulley/controller/periodic.py
+++ b/fallpulley/controller/periodic.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from fallpulley.balancing.balancer import ShardBalancer
-from fallpulley.context import ControllerContext
 from fallpulley.controller.health import Health
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extensions
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
@@ -16,12 +16,12 @@
 from fallpulley.mesh.peers import Peers
 from fallpulley.mesh.task_counts import TaskCountRotation
 from fallpulley.persistence.job_persistence import JobPersistence
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.scheduling.planner import Planner
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shards.occupancy import OccupancyFlags
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 
 # Time from one tick to the next, in heartbeat intervals of the workers.
@@ -53,7 +53,7 @@
         heartbeats: HeartbeatHandler,
         peers: Peers,
         health: Health,
-        owned: OwnedShards,
+        owned_shards: OwnedShards,
         extensions: Extensions,
     ) -> None:
         self.context = context
@@ -72,7 +72,7 @@
         self.heartbeats = heartbeats
         self.peers = peers
         self.health = health
-        self.owned = owned
+        self.owned_shards = owned_shards
         self.extensions = extensions
         # Requests for machines that the next heartbeat carries, by shard id.
         self._machine_requests: dict[str, list[MachineRequest]] = {}
@@ -86,7 +86,7 @@
         self.session.tick()
         for extension in self.extensions:
             extension.on_step()
-        self.heartbeats.retry_parked()
+        self.heartbeats.retry_awaiting_grant()
         # Work that goes over all machines and jobs is done at intervals, not in every step: each
         # batch of commands that arrives causes a step.
         if self.context.now < self._next_tick_at:
@@ -99,7 +99,7 @@
 
     def plan(self) -> None:
         """Plan the shards in which something changed; called in every step, after `run`."""
-        if self.watch.ready and self.planner.plan(self.owned.agents):
+        if self.watch.ready and self.planner.plan(self.owned_shards.agents):
             self.heartbeats.recheck_deferred()
 
     def _tick(self) -> None:
@@ -113,7 +113,7 @@
         if occupancy_due:
             interval_s = OCCUPANCY_INTERVAL_HEARTBEATS * self.context.timing.heartbeat_interval_s
             self._next_occupancy_at = self.context.now + interval_s
-        for agent in self.owned.agents.values():
+        for agent in self.owned_shards.agents.values():
             self._tick_shard(agent, occupancy_due, term is not None)
         for extension in self.extensions:
             extension.on_shards_checked()
@@ -125,15 +125,15 @@
         shard = agent.shard
         agent.lease_expiry.expire(self.watch.fresh_at)
         agent.stop_broken_gangs()
-        self.balancer.hand_off_if_unreached(shard)
+        self.balancer.hand_off_if_unreachable(shard)
         if occupancy_due:
             self.occupancy.update_all(shard)
         elif shard.occupancy_due:
             self.occupancy.update_due(shard)
         if shard.unreconciled:
-            agent.fencing.tick(self.writer.addresses)
+            agent.fencing_prober.tick(self.writer.addresses)
         self._request_record_rewrite(agent)
-        self.persistence.tick(shard, self.jobs.cancelled_with_dependencies.get(shard.shard_id, {}))
+        self.persistence.tick(shard, self.jobs.cancelled_dependents.get(shard.shard_id, {}))
         if self.session.is_live():
             self._scale(agent, leading)
 
@@ -151,7 +151,7 @@
 
     def _scale(self, agent: ShardAgent, leading: bool) -> None:
         if agent.shard.unreconciled and leading:
-            self.autoscaler.confirm_unreachable_gone(agent.shard)
+            self.autoscaler.release_unreachable(agent.shard)
         machine_requests = self.autoscaler.tick(agent.shard, leading)
         if machine_requests:
             self._machine_requests[agent.shard.shard_id] = machine_requests
@@ -160,8 +160,8 @@
         task_counts = self._current_task_counts()
         if leading:
             self.provider.target_sizes = self.balancer.target_sizes()
-        if not self.extensions.balance_shards:
-            self.balancer.rebalance(self.owned.shards)
+        if not self.extensions.balances_shards:
+            self.balancer.rebalance(self.owned_shards.shards)
         machine_requests = [
             request for requests in self._machine_requests.values() for request in requests
         ]
@@ -176,9 +176,9 @@
         Also updates the job service's counts of all owned jobs.
         """
         task_counts = {}
-        for shard in self.owned.shards.values():
+        for shard in self.owned_shards.shards.values():
             for job in shard.jobs.values():
-                if not job.cancelled:
+                if not job.ended:
                     task_counts[job.job_id] = (job.progress.completed.count, len(job.runs))
         self.jobs.task_counts.update(task_counts)
         return self._task_counts.next_entries(task_counts)
--- a/fallpulley/controller/record_dispatch.py
+++ b/fallpulley/controller/record_dispatch.py
@@ -1,18 +1,18 @@
-"""Dispatch of changed records to the parts of the controller that use them."""
+"""Dispatch of changed records to the components of the controller that use them."""
 
 from __future__ import annotations
 
-from fallpulley.context import ControllerContext
 from fallpulley.controller.job_sync import JobSync
 from fallpulley.controller.shard_lifecycle import ShardLifecycle
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extensions
 from fallpulley.jobs.job_index import JOB_PREFIX
-from fallpulley.records.keys import FORMAT_KEY, SESSION_PREFIX
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.keys import FORMAT_KEY, SESSION_PREFIX
+from fallpulley.shared_records.registry import Registry
 
 
 class RecordDispatcher:
-    """Passes each changed record to the parts that use it.
+    """Passes each changed record to the components that use it.
 
     The watch cache calls it for every key, in the order of the state service's revisions.
     """
@@ -36,7 +36,7 @@
         if key.startswith(JOB_PREFIX):
             self.job_sync.on_record(key[len(JOB_PREFIX) :], value, mod_revision)
             return
-        extension = self.extensions.watching(key)
+        extension = self.extensions.for_key(key)
         if extension is not None:
             extension.on_key_changed(key, value, mod_revision)
             return
@@ -48,7 +48,7 @@
         shard_id = self.registry.on_key_changed(key, value, mod_revision)
         if shard_id is not None:
             self.lifecycle.on_record(shard_id, owners.get(shard_id))
-            self.lifecycle.update_change_share()
+            self.lifecycle.update_change_rate_factor()
         elif key.startswith(SESSION_PREFIX):
             self.lifecycle.check_previous_owners()
             if value is not None:
@@ -56,4 +56,4 @@
                     extension.on_session_began(key[len(SESSION_PREFIX) :])
         elif key == FORMAT_KEY:
             self.context.record_format.adopt(self.registry.record_format)
-            self.lifecycle.update_change_share()
+            self.lifecycle.update_change_rate_factor()
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -1,4 +1,4 @@
-"""Construction of a controller from its parts and the extensions that are enabled."""
+"""Construction of a controller from its components and the extensions that are enabled."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 import msgspec
 
 from fallpulley.balancing.balancer import ShardBalancer
-from fallpulley.context import ControllerContext
 from fallpulley.controller.cancellation_announcer import CancellationAnnouncer
 from fallpulley.controller.health import Health
 from fallpulley.controller.job_sync import JobSync
@@ -17,6 +16,7 @@
 from fallpulley.controller.router import Router
 from fallpulley.controller.shard_lifecycle import ShardLifecycle
 from fallpulley.controller_access import ControllerAccess
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extensions
 from fallpulley.fleet.autoscaler import Autoscaler
 from fallpulley.fleet.provider import MachineProvider
@@ -26,12 +26,12 @@
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh.peers import Peers
 from fallpulley.persistence.job_persistence import JobPersistence
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.scheduling.planner import Planner
 from fallpulley.settings import Settings
 from fallpulley.shards.occupancy import OccupancyFlags
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 
 # Minimum number of watches that return within one session length: each return shows that this
@@ -43,13 +43,13 @@
 MIN_WATCH_INTERVAL_SECONDS = 0.05
 
 
-class ControllerParts(msgspec.Struct, frozen=True):
-    """The parts of one controller, each constructed with the other parts that it uses."""
+class ControllerComponents(msgspec.Struct, frozen=True):
+    """The components of one controller, each constructed with the others that it uses."""
 
     context: ControllerContext
     watch: WatchCache
     registry: Registry
-    owned: OwnedShards
+    owned_shards: OwnedShards
     extensions: Extensions
     session: SessionLease
     leadership: Leadership
@@ -67,14 +67,14 @@
     periodic: PeriodicTasks
 
 
-def build_parts(
+def build_components(
     settings: Settings, incarnation: str, clock: Callable[[], float]
-) -> ControllerParts:
-    """Build all parts of a controller, before its first step."""
+) -> ControllerComponents:
+    """Build all components of a controller, before its first step."""
     context = ControllerContext(settings, incarnation, clock)
     watch = _build_watch(context)
     registry = Registry()
-    owned = OwnedShards()
+    owned_shards = OwnedShards()
     extensions = Extensions()
     session = SessionLease(context, watch)
     leadership = Leadership(context, watch, registry, session, extensions)
@@ -86,11 +86,18 @@
     peers = Peers(context)
     health = Health(context, watch, session, peers)
     planner = Planner(context, registry, jobs)
-    job_sync = JobSync(jobs, owned)
+    job_sync = JobSync(jobs, owned_shards)
     heartbeats = HeartbeatHandler(
-        context, watch, registry, leadership, writer, provider, owned, health.is_serving
+        context,
+        watch,
+        registry,
+        leadership,
+        writer,
+        provider,
+        owned_shards,
+        health.may_respond_to_machines,
     )
-    lifecycle = ShardLifecycle(context, registry, writer, owned, job_sync, extensions)
+    lifecycle = ShardLifecycle(context, registry, writer, owned_shards, job_sync, extensions)
     dispatcher = RecordDispatcher(context, registry, job_sync, lifecycle, extensions)
     watch.subscribe(dispatcher.on_key_changed)
     periodic = PeriodicTasks(
@@ -110,14 +117,14 @@
         heartbeats,
         peers,
         health,
-        owned,
+        owned_shards,
         extensions,
     )
-    parts = ControllerParts(
+    components = ControllerComponents(
         context=context,
         watch=watch,
         registry=registry,
-        owned=owned,
+        owned_shards=owned_shards,
         extensions=extensions,
         session=session,
         leadership=leadership,
@@ -136,8 +143,8 @@
         router=Router(context, health, jobs, heartbeats, extensions),
         periodic=periodic,
     )
-    _add_extensions(parts)
-    return parts
+    _add_extensions(components)
+    return components
 
 
 def _build_watch(context: ControllerContext) -> WatchCache:
@@ -150,26 +157,28 @@
     )
 
 
-def _add_extensions(parts: ControllerParts) -> None:
+def _add_extensions(components: ControllerComponents) -> None:
     """Add the extensions that the settings enable; the modules of others are not imported."""
-    operators = parts.context.settings.operators
+    operators = components.context.settings.operators
     access = ControllerAccess(
-        parts.context,
-        parts.watch,
-        parts.registry,
-        parts.session,
-        parts.leadership,
-        parts.owned,
+        components.context,
+        components.watch,
+        components.registry,
+        components.session,
+        components.leadership,
+        components.owned_shards,
     )
     if operators.standby.enabled:
-        from fallpulley.standby.service import Standby
+        from fallpulley.standby.service import StandbyService
 
-        parts.extensions.add(Standby(parts.context, parts.registry, parts.peers.send))
+        components.extensions.add(
+            StandbyService(components.context, components.registry, components.peers.send)
+        )
     if operators.shares.enabled:
         from fallpulley.shares.service import SharesService
 
-        parts.extensions.add(SharesService(access, parts.writer, parts.jobs))
+        components.extensions.add(SharesService(access, components.writer, components.jobs))
     if operators.duties.enabled:
         from fallpulley.duties.service import DutiesService
 
-        parts.extensions.add(DutiesService(access, parts.provider))
+        components.extensions.add(DutiesService(access, components.provider))
--- a/fallpulley/controller_access.py
+++ b/fallpulley/controller_access.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.leadership import Leadership
 from fallpulley.membership.session import SessionLease
-from fallpulley.records.registry import Registry
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteCallback
 from fallpulley.state.watch_cache import WatchCache
 
@@ -17,14 +17,14 @@
 
 
 class ControllerAccess(msgspec.Struct, frozen=True):
-    """The parts of the controller that extensions read, and the way they write their records."""
+    """The components that extensions read, and the way they write their records."""
 
     context: ControllerContext
     watch: WatchCache
     registry: Registry
     session: SessionLease
     leadership: Leadership
-    owned: OwnedShards
+    owned_shards: OwnedShards
 
     @property
     def is_leader(self) -> bool:
--- a/fallpulley/duties/guard.py
+++ b/fallpulley/duties/guard.py
@@ -17,7 +17,7 @@
 from fallpulley.duties.registry import DutyRegistry
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.records.keys import SHARD_PREFIX
+from fallpulley.shared_records.keys import SHARD_PREFIX
 
 # Most bytes that the machine ids of one intent may take, as a share of the largest record value.
 MAX_INTENT_VALUE_SHARE = 0.5
@@ -71,7 +71,7 @@
         return False
 
     def on_rental_resolved(self, request_id: str) -> None:
-        """Delete the intents of a rental that the cloud has answered for good."""
+        """Delete the intents of a rental whose outcome the cloud has reported."""
         for key in self._intents_of_request(request_id):
             self._intents.delete(key)
 
@@ -137,19 +137,19 @@
         Only the owner of the shard may decide this. The shard's revision is added to `conditions`,
         so that any later owner sees the intent before it acquires the shard.
         """
-        shard = self._access.owned.shards.get(shard_id)
+        shard = self._access.owned_shards.shards.get(shard_id)
         if shard is None:
             return False
-        scale_in = shard.machines[machine_id].scale_in
-        if not scale_in.release_decided and machine_id not in shard.unreconciled:
+        departure = shard.machines[machine_id].departure
+        if not departure.release_decided and machine_id not in shard.unreconciled:
             return False
-        scale_in.release_decided = True
+        departure.release_decided = True
         conditions[SHARD_PREFIX + shard_id] = shard.fencing_token
         return True
 
     def _limit_to_record_size(self, machine_ids: list[str]) -> list[str]:
         """Halve a list until one intent can hold it, but keep at least one machine."""
-        max_bytes = MAX_INTENT_VALUE_SHARE * self._access.context.record_format.value_bytes
+        max_bytes = MAX_INTENT_VALUE_SHARE * self._access.context.record_format.max_value_bytes
         while len(machine_ids) > 1 and len(msgspec.json.encode(machine_ids)) > max_bytes:
             machine_ids = machine_ids[: len(machine_ids) // 2]
         return machine_ids
--- a/fallpulley/duties/service.py
+++ b/fallpulley/duties/service.py
@@ -10,8 +10,8 @@
 from fallpulley.duties.registry import DutyRegistry
 from fallpulley.extensions import Extension
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.records.shard_record import OwnerProcess
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.shard_record import OwnerProcess
 
 
 class DutiesService(Extension):
@@ -46,7 +46,7 @@
     def on_shard_updated(self, shard: Shard) -> None:
         """Mark the machines of an owned shard that are about to be released."""
         for machine_id in self.duty_registry.release_intents.keys() & shard.machines.keys():
-            shard.machines[machine_id].scale_in.release_decided = True
+            shard.machines[machine_id].departure.release_decided = True
 
     def on_leadership_checked(self) -> None:
         """Claim missing duties and resume recorded rentals if this controller leads."""
@@ -61,10 +61,10 @@
         No tasks are placed on a machine that may be released at any moment.
         """
         shard_id = self._access.registry.shard_of_machine.get(machine_id, "")
-        shard = self._access.owned.shards.get(shard_id)
+        shard = self._access.owned_shards.shards.get(shard_id)
         machine = shard.machines.get(machine_id) if shard is not None else None
         if shard is None or machine is None:
             return
-        machine.scale_in.release_decided = machine_id in self.duty_registry.release_intents
+        machine.departure.release_decided = machine_id in self.duty_registry.release_intents
         shard.bookings.pop(machine_id, None)
         shard.needs_replan = True
--- a/fallpulley/fleet/abandonment.py
+++ b/fallpulley/fleet/abandonment.py
@@ -7,11 +7,11 @@
 from enum import Enum
 
 from fallpulley.cloud.messages import DEFAULT_BOOT_SECONDS, FAILED_STATE
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.provider import MachineProvider
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.shard import FAULTY_MACHINE_JOBS, Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.workers.machine import Machine
 
 log = logging.getLogger(__name__)
@@ -23,7 +23,7 @@
 # The least time that a new machine gets to come online, in worker leases.
 MIN_STARTUP_LEASES = 2
 # How long a machine may be offline, in worker leases, before it is abandoned: after that it most
-# likely no longer exists. Also the limit for a machine that our responses do not reach.
+# likely no longer exists. Also the limit for a machine that responses do not reach.
 MAX_OFFLINE_LEASES = 2.5
 # A machine is not faulty if at least this many tasks completed on it per job that failed there.
 COMPLETED_TASKS_PER_FAILED_JOB = 4
@@ -43,7 +43,7 @@
     """Why a machine is given back to the cloud; the values appear in log lines."""
 
     IDLE = "idle"
-    UNACKNOWLEDGED = "unacknowledged"  # its heartbeats arrive, but our responses do not reach it
+    UNACKNOWLEDGED = "unacknowledged"  # its heartbeats arrive, but responses do not reach it
     RELEASED = "released"  # the cloud has confirmed its release
     FAILED = "failed"  # the cloud lists it as stopped for good
     OFFLINE = "offline"
@@ -73,11 +73,11 @@
         """
         listed_machines = self.provider.listed_machines
         for machine in shard.machines.values():
-            if machine.scale_in.leaving_shard:
+            if machine.departure.leaving_shard:
                 continue
             listed = listed_machines.get(machine.machine_id)
             if listed is not None and listed.state == FAILED_STATE:
-                machine.scale_in.failed_in_cloud = True
+                machine.departure.failed_in_cloud = True
             if machine.runs or machine.machine_id in shard.unreconciled:
                 continue
             reason = self._reason_to_abandon(machine)
@@ -95,7 +95,7 @@
             reason.value,
             shard.shard_id,
         )
-        machine.scale_in.leaving_shard = True
+        machine.departure.leaving_shard = True
         shard.occupancy_due[machine.machine_id] = None
         shard.needs_replan = True
         self.writer.remove(shard.shard_id, machine.machine_id)
@@ -121,7 +121,7 @@
         """Return why an offline machine should be abandoned, or None to keep it."""
         if machine.machine_id in self.provider.released_at:
             return AbandonReason.RELEASED
-        if machine.scale_in.failed_in_cloud:
+        if machine.departure.failed_in_cloud:
             return AbandonReason.FAILED
         offline_since = max(machine.heartbeat.received_at, machine.granted_at)
         if machine.heartbeat.ever_online:
@@ -145,7 +145,7 @@
 
     # -- unreachable machines after a failover ---------------------------------------------
 
-    def confirm_unreachable_gone(self, shard: Shard) -> None:
+    def release_unreachable(self, shard: Shard) -> None:
         """Request the release of machines that do not respond after a failover.
 
         While such a machine may hold unknown tasks, no job that was accepted before the failover
--- a/fallpulley/fleet/adoption.py
+++ b/fallpulley/fleet/adoption.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 
 from fallpulley.cloud.messages import FAILED_STATE, ListedMachine
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.releases import Releases
 from fallpulley.fleet.rentals import Rentals
-from fallpulley.fleet.shard_choice import ShardChoice
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import MachineEntry
-from fallpulley.records.writer import ShardWriter
+from fallpulley.fleet.shard_chooser import MachineShardChooser
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import MachineEntry
+from fallpulley.shared_records.writer import ShardWriter
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
         writer: ShardWriter,
         rentals: Rentals,
         releases: Releases,
-        shard_choice: ShardChoice,
+        shard_chooser: MachineShardChooser,
         action_guard: Callable[[], ActionGuard],
     ) -> None:
         self.context = context
@@ -41,7 +41,7 @@
         self.writer = writer
         self.rentals = rentals
         self.releases = releases
-        self.shard_choice = shard_choice
+        self.shard_chooser = shard_chooser
         self._action_guard = action_guard
         self._term_began_at = float("-inf")
 
@@ -57,11 +57,11 @@
         """
         if (
             machine_id in self.releases.released_at
-            or machine_id in self.registry.release_records
+            or machine_id in self.registry.release_record_keys
             or not self._action_guard().may_adopt()
         ):
             return False
-        shard_id = self.shard_choice.furthest_below_target()
+        shard_id = self.shard_chooser.furthest_below_target()
         if shard_id is None:
             return False
         log.info(
@@ -89,7 +89,7 @@
         """Return whether the machine is in a record, being added to one, or to be released."""
         return (
             machine_id in self.registry.shard_of_machine
-            or machine_id in self.registry.release_records
+            or machine_id in self.registry.release_record_keys
             or self.writer.is_being_added(machine_id)
             or machine_id in self.releases.requested
         )
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fallpulley.cloud.messages import DEFAULT_BOOT_SECONDS, MachineType
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.fleet.abandonment import AbandonReason, MachineAbandoner
 from fallpulley.fleet.demand import demand_groups
 from fallpulley.fleet.provider import MachineProvider
@@ -11,18 +11,18 @@
 from fallpulley.fleet.smoothing import DemandSmoother
 from fallpulley.fleet.supply import added_supply, machine_supply, rented_supply
 from fallpulley.mesh.messages import MachineRequest
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 
 # Least time between two sizings of a shard's fleet, in seconds: far below any boot time.
 SIZING_INTERVAL_SECONDS = 1.0
 # Largest share of the controller's time that sizing may take; the interval between two sizings is
 # lengthened accordingly, up to this many boot times.
 SIZING_TIME_SHARE, MAX_SIZING_INTERVAL_BOOT_TIMES = 1 / 50, 0.1
-# The same share if the cloud has answered a rental request since the last sizing. It is limited
-# because the cloud answers several times a second while thousands of machines are being rented, and
-# each sizing goes through all machines.
+# The same share if the cloud has responded to a rental request since the last sizing. It is limited
+# because the cloud responds several times a second while thousands of machines are being rented,
+# and each sizing goes through all machines.
 SIZING_TIME_SHARE_AFTER_RESPONSE = 1 / 5
 
 # How long after a failover a shard's work is not known yet, in heartbeat intervals: its machines
@@ -72,17 +72,17 @@
         self._interval_s[shard.shard_id] = self._next_interval_s(self.context.clock() - began)
         return machine_requests
 
-    def confirm_unreachable_gone(self, shard: Shard) -> None:
+    def release_unreachable(self, shard: Shard) -> None:
         """As the leader, request the release of machines that are unreachable after a failover."""
-        self.abandoner.confirm_unreachable_gone(shard)
+        self.abandoner.release_unreachable(shard)
 
     def _wait_s(self, last_at: float, interval_s: float) -> float:
         """Return the seconds to wait from the last sizing to the next.
 
-        The wait is shorter if the cloud has answered a rental request since the last sizing, so
+        The wait is shorter if the cloud has responded to a rental request since the last sizing, so
         that a partly filled request is soon followed by a request for the next offer.
         """
-        if self.provider.rentals_answered_at > last_at:
+        if self.provider.last_rental_response_at > last_at:
             return interval_s * SIZING_TIME_SHARE / SIZING_TIME_SHARE_AFTER_RESPONSE
         return interval_s
 
--- a/fallpulley/fleet/demand.py
+++ b/fallpulley/fleet/demand.py
@@ -6,7 +6,7 @@
 from fallpulley.fleet.sizing import DemandGroup, DemandKey
 from fallpulley.jobs.messages import JobKind
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.placement.estimate import remaining_run_time
+from fallpulley.placement.estimate import estimate_remaining_run_time
 from fallpulley.placement.queue import URGENT_PRIORITY_LEVEL
 from fallpulley.shards.shard import Shard
 
@@ -25,7 +25,7 @@
     """
     groups: dict[DemandKey, DemandGroup] = {}
     for job in shard.jobs.values():
-        if job.cancelled or job.finished or job.waits_for_dependencies:
+        if job.ended or job.all_tasks_completed or job.waits_for_dependencies:
             continue  # machines rented for jobs that cannot start yet would be idle
         spec = job.spec
         cpus_per_task = _cached_cpus_per_task(job, machine_types)
@@ -56,10 +56,10 @@
         # A service runs until it is cancelled, so its work can't be completed in time. With at most
         # `drain_s` of work for each task, it needs about the processors that its tasks occupy.
         estimate_s = min(estimate_s, drain_s)
-    work = job.waiting_count() * estimate_s * cpus_per_task
+    work = job.pending_task_count() * estimate_s * cpus_per_task
     for run in job.runs.values():
-        ran_s = now - run.started_at if run.started_at is not None else 0.0
-        work += remaining_run_time(estimate_s, ran_s) * cpus_per_task
+        ran_s = now - run.running_since if run.running_since is not None else 0.0
+        work += estimate_remaining_run_time(estimate_s, ran_s) * cpus_per_task
     return work
 
 
--- a/fallpulley/fleet/releases.py
+++ b/fallpulley/fleet/releases.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from fallpulley.cloud.messages import MAX_RELEASED_MACHINES, ReleaseRequest
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import Response
 from fallpulley.fleet.action_guard import ActionGuard
 from fallpulley.fleet.cloud import CALL_TIMEOUT_SECONDS, CloudClient
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
@@ -71,7 +71,7 @@
 
     def _machines_to_release(self) -> list[str]:
         """Return the machines to release: those in release records first, then requested ones."""
-        recorded = self.registry.release_records
+        recorded = self.registry.release_record_keys
         machine_ids = [
             machine_id
             for machine_id, key in recorded.items()
@@ -88,7 +88,9 @@
         for machine_id in machine_ids:
             self.released_at[machine_id] = self.context.now
             self.requested.discard(machine_id)
-        for key in {self.registry.release_records.get(machine_id) for machine_id in machine_ids}:
+        for key in {
+            self.registry.release_record_keys.get(machine_id) for machine_id in machine_ids
+        }:
             if key is not None and self._all_released(key):
                 self._delete_record(key)
         self._action_guard().on_released(machine_ids)
@@ -112,6 +114,6 @@
                 {key: self.watch.mod_revision(key), **conditions},
                 [Change(key, None)],
                 on_result,
-                RequestPriority.PROGRESS,
+                RequestPriority.BACKGROUND,
             )
         )
--- a/fallpulley/fleet/shard_choice.py
+++ b/fallpulley/fleet/shard_chooser.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 
 
-class ShardChoice:
+class MachineShardChooser:
     """Chooses shards by their target sizes; extensions may redirect rented machines."""
 
     def __init__(
--- a/fallpulley/fleet/supply.py
+++ b/fallpulley/fleet/supply.py
@@ -6,15 +6,15 @@
 
 from fallpulley.cloud.messages import MachineType, RentalRequest
 from fallpulley.fleet.sizing import SupplyUnit
-from fallpulley.records.shard_record import MachineEntry
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.shard_record import MachineEntry
 from fallpulley.workers.machine import Machine
 
 # How long a new machine counts as supply without coming online, in boot times of its type. Some
 # machines take several boot times and a few never come online.
 COUNTED_BOOT_TIMES = 2.0
 
-# How long a machine that our responses do not reach still counts as supply while its heartbeats
+# How long a machine that responses do not reach still counts as supply while its heartbeats
 # arrive, in heartbeat intervals.
 MAX_UNACKNOWLEDGED_HEARTBEATS = 2.0
 
@@ -32,8 +32,8 @@
         ):
             continue
         idle_s = None
-        if machine.usable and machine.empty and machine.scale_in.idle_since is not None:
-            idle_s = now - machine.scale_in.idle_since
+        if machine.usable and machine.empty and machine.departure.idle_since is not None:
+            idle_s = now - machine.departure.idle_since
         supply.append(
             SupplyUnit(
                 machine.machine_id,
@@ -51,17 +51,17 @@
     machine: Machine, machine_type: MachineType, now: float, max_unacknowledged_s: float
 ) -> bool:
     """Return whether the machine is online or booting, reachable, and not about to leave."""
-    scale_in = machine.scale_in
-    if scale_in.leaving_shard or scale_in.release_decided or scale_in.failed_in_cloud:
+    departure = machine.departure
+    if departure.leaving_shard or departure.release_decided or departure.failed_in_cloud:
         return False
-    if scale_in.preempted_at is not None:
+    if departure.preempted_at is not None:
         return False
     if not machine.heartbeat.ever_online:
         if now - machine.granted_at > COUNTED_BOOT_TIMES * machine_type.boot_s:
             return False
     elif not machine.heartbeat.online:
         return False
-    if not machine.fencing.fenced:
+    if not machine.fencing.token_confirmed:
         return True
     since = machine.fencing.unacknowledged_since
     return since is None or now - since <= max_unacknowledged_s
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.fleet.provider import MachineProvider
 from fallpulley.heartbeats.deferral import DeferredHeartbeats
 from fallpulley.heartbeats.responses import HeartbeatResponder
 from fallpulley.membership.leadership import Leadership
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.agent import ShardAgent
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import Heartbeat, Redirect, parse_heartbeat
@@ -37,8 +37,8 @@
 class HeartbeatHandler:
     """Handles `POST /checkin`.
 
-    Heartbeats of owned machines are applied, and answered later in the step or after the next plan.
-    Heartbeats of machines that are being granted to a shard wait for that. All others are
+    Heartbeats of owned machines are applied, and responded to later in the step or after the next
+    plan. Heartbeats of machines that are being granted to a shard wait for that. All others are
     redirected or refused at once.
     """
 
@@ -50,13 +50,13 @@
         leadership: Leadership,
         writer: ShardWriter,
         provider: MachineProvider,
-        owned: OwnedShards,
-        is_serving: Callable[[], bool],
+        owned_shards: OwnedShards,
+        may_respond_to_machines: Callable[[], bool],
     ) -> None:
         """Create a handler that holds no heartbeats yet.
 
-        `is_serving` tells whether this controller is within its response window, so that it may
-        respond to machines.
+        `may_respond_to_machines` tells whether this controller is within its response window, so
+        that it may respond to machines.
         """
         self.context = context
         self.watch = watch
@@ -64,9 +64,11 @@
         self.leadership = leadership
         self.writer = writer
         self.provider = provider
-        self.owned = owned
-        self.is_serving = is_serving
-        self.responder = HeartbeatResponder(context, watch, registry, writer, owned, is_serving)
+        self.owned_shards = owned_shards
+        self.may_respond_to_machines = may_respond_to_machines
+        self.responder = HeartbeatResponder(
+            context, watch, registry, writer, owned_shards, may_respond_to_machines
+        )
         self.deferred = DeferredHeartbeats(context, self.responder)
         self._awaiting_grant: list[HeartbeatAwaitingGrant] = []
 
@@ -78,7 +80,7 @@
             return
         self._route(pending_response, heartbeat, self.context.now + GRANT_WAIT_SECONDS)
 
-    def retry_parked(self) -> None:
+    def retry_awaiting_grant(self) -> None:
         """Route the waiting heartbeats whose machines were granted, or whose wait has ended."""
         awaiting_grant, self._awaiting_grant = self._awaiting_grant, []
         for waiting in awaiting_grant:
@@ -93,21 +95,21 @@
         self.deferred.recheck()
 
     def respond_to_deferred(self) -> None:
-        """Answer the heartbeats that need not wait any longer for a plan or an occupancy flag."""
+        """Respond to the heartbeats that need no longer wait for a plan or an occupancy flag."""
         self.deferred.respond()
 
     def _route(
         self, pending_response: PendingResponse, heartbeat: Heartbeat, deadline_at: float
     ) -> None:
         """Apply, redirect or refuse a heartbeat, or let it wait until `deadline_at` for a grant."""
-        if not self.watch.loaded or not self.is_serving():
+        if not self.watch.loaded or not self.may_respond_to_machines():
             self.responder.respond_unavailable(pending_response)
             return
         shard_id = self.registry.shard_of_machine.get(heartbeat.machine_id)
         if shard_id is None:
             self._handle_unknown_machine(pending_response, heartbeat, deadline_at)
             return
-        agent = self.owned.agents.get(shard_id)
+        agent = self.owned_shards.agents.get(shard_id)
         if agent is None:
             self._redirect(pending_response, self.registry.owner_of(shard_id))
             return
@@ -116,7 +118,7 @@
         if (
             machine is None
             or heartbeat.fencing_token > shard.fencing_token
-            or machine.heartbeat.is_stale_copy(heartbeat)
+            or machine.heartbeat.record_and_check_stale(heartbeat)
         ):
             # Either this controller's copy of the records is out of date, and another owner has
             # reached the machine with a higher token. Or the heartbeat is a late copy, and the
@@ -137,7 +139,7 @@
             # The machine left the shard and came back between two reads of the records by this
             # controller. It is treated as a machine that was just granted.
             machine.fencing.token = agent.shard.fencing_token
-            machine.fencing.fenced = False
+            machine.fencing.token_confirmed = False
         newer = agent.intake.handle_heartbeat(machine, heartbeat)
         if heartbeat.address:
             self.writer.addresses[heartbeat.machine_id] = heartbeat.address
--- a/fallpulley/heartbeats/responses.py
+++ b/fallpulley/heartbeats/responses.py
@@ -7,23 +7,23 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.messages import Submission
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
-from fallpulley.records.registry import Registry
-from fallpulley.records.writer import ShardWriter
 from fallpulley.shards.agent import ShardAgent
-from fallpulley.shards.owned import OwnedShards
+from fallpulley.shards.owned_shards import OwnedShards
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.state.watch_cache import WatchCache
 from fallpulley.workers.machine import Machine
 from fallpulley.workers.messages import HeartbeatResponse, TaskCommand
 
 # How many responses a machine of a shard just acquired may get before it has reported this owner's
 # token.
-MAX_UNFENCED_RESPONSES = 3
+MAX_UNCONFIRMED_RESPONSES = 3
 # Delay after which a refused machine may try again, sent as the Retry-After header.
 RETRY_AFTER_SECONDS = 1.0
 # Lower bound of a machine type's image bandwidth, in GB per second; prevents a division by zero.
@@ -33,7 +33,7 @@
 
 
 class HeartbeatResponder:
-    """Answers heartbeats of machines of owned shards; each answer renews the machine's lease."""
+    """Responds to heartbeats of owned shards' machines; each response renews a machine's lease."""
 
     def __init__(
         self,
@@ -41,20 +41,20 @@
         watch: WatchCache,
         registry: Registry,
         writer: ShardWriter,
-        owned: OwnedShards,
-        is_serving: Callable[[], bool],
+        owned_shards: OwnedShards,
+        may_respond_to_machines: Callable[[], bool],
     ) -> None:
         """Create a responder.
 
-        `is_serving` tells whether this controller is within its response window, so that it may
-        respond to machines.
+        `may_respond_to_machines` tells whether this controller is within its response window, so
+        that it may respond to machines.
         """
         self.context = context
         self.watch = watch
         self.registry = registry
         self.writer = writer
-        self.owned = owned
-        self.is_serving = is_serving
+        self.owned_shards = owned_shards
+        self.may_respond_to_machines = may_respond_to_machines
 
     def respond_unavailable(self, pending_response: PendingResponse) -> None:
         """Refuse a heartbeat, which renews no lease; the machine then tries the next controller."""
@@ -65,7 +65,7 @@
     def respond(
         self, pending_response: PendingResponse, agent: ShardAgent, machine: Machine, newer: bool
     ) -> None:
-        """Answer a heartbeat with the commands for its machine, or refuse it.
+        """Respond to a heartbeat with the commands for its machine, or refuse it.
 
         `newer` tells whether the heartbeat was newer than the newest state known of the machine.
         """
@@ -73,7 +73,7 @@
             self.respond_unavailable(pending_response)
             return
         commands: list[TaskCommand] = []
-        if machine.fencing.fenced:
+        if machine.fencing.token_confirmed:
             # This response renews the lease, so it carries the stop commands even if the heartbeat
             # was overtaken by the response to a direct command and is not newer.
             commands = agent.commands.pending_commands(machine)
@@ -85,26 +85,26 @@
 
     def _may_respond(self, shard: Shard, machine: Machine) -> bool:
         if (
-            self.owned.shards.get(shard.shard_id) is not shard
+            self.owned_shards.shards.get(shard.shard_id) is not shard
             or machine.machine_id not in shard.machines
         ):
             return False
-        if not self.is_serving():
+        if not self.may_respond_to_machines():
             return False  # the response window may have ended while the heartbeat waited
-        if machine.machine_id not in shard.unreconciled or machine.fencing.fenced:
+        if machine.machine_id not in shard.unreconciled or machine.fencing.token_confirmed:
             return True
         # The machine may hold tasks, and has not shown that this owner's responses reach it. Each
         # response may renew its lease, and so delays the time when it can be confirmed to hold no
         # tasks; until then, no job accepted before the failover is started. Without a limit, a
         # machine that no response reaches would delay this for ever.
-        if machine.fencing.unfenced_responses >= MAX_UNFENCED_RESPONSES:
+        if machine.fencing.unconfirmed_responses >= MAX_UNCONFIRMED_RESPONSES:
             return False
-        machine.fencing.unfenced_responses += 1
+        machine.fencing.unconfirmed_responses += 1
         return True
 
     def _may_start_tasks(self, shard: Shard, machine: Machine) -> bool:
         # The machine's own copy of the flag may be out of date, so the record's is checked too.
-        occupied = machine.flagged_occupied and self.writer.is_occupied(
+        occupied = machine.occupancy_flag and self.writer.is_occupied(
             shard.shard_id, machine.machine_id
         )
         return machine.usable and occupied and self.watch.ready
@@ -141,6 +141,4 @@
 
 def _is_startable(job: OpenJob, booking: Booking) -> bool:
     """Return whether the job still needs the booked task to start."""
-    return not (
-        job.cancelled or booking.task_index in job.runs or job.is_completed(booking.task_index)
-    )
+    return not (job.ended or booking.task_index in job.runs or job.is_completed(booking.task_index))
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.job_index import JOB_PREFIX, JobIndex
-from fallpulley.jobs.job_writes import write_acceptance
+from fallpulley.jobs.job_writes import write_interactive
 from fallpulley.jobs.messages import (
     JobRecord,
     JobState,
@@ -26,12 +26,12 @@
 )
 from fallpulley.jobs.queries import JobQueries
 from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
-from fallpulley.jobs.shard_choice import ShardChooser
+from fallpulley.jobs.shard_chooser import JobShardChooser
 from fallpulley.jobs.validation import rejection_reason
-from fallpulley.records.keys import TEAM_PREFIX
-from fallpulley.records.messages import TeamShard
-from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
+from fallpulley.shared_records.keys import TEAM_PREFIX
+from fallpulley.shared_records.messages import TeamShard
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
@@ -48,7 +48,7 @@
         registry: Registry,
         index: JobIndex,
         teams: Mapping[str, Team],
-        shard_chooser: ShardChooser,
+        shard_chooser: JobShardChooser,
         queries: JobQueries,
         responder: JobResponder,
     ) -> None:
@@ -152,7 +152,7 @@
                 shard_id, round(self.context.wall_time * 1000), spec.task_count, JobState.OPEN, spec
             )
         )
-        if len(value) > self.context.record_format.value_bytes:
+        if len(value) > self.context.record_format.max_value_bytes:
             self.responder.send_error(pending_response, HTTPStatus.BAD_REQUEST, "too long")
             return
         self._write_acceptance(pending_response, spec, shard_id, value)
@@ -197,7 +197,7 @@
             else:
                 self.responder.send_unavailable(pending_response, "state service did not answer")
 
-        write_acceptance(self.context, conditions, changes, on_result)
+        write_interactive(self.context, conditions, changes, on_result)
 
     def _on_accepted(
         self, pending_response: PendingResponse, spec: Submission, shard_id: str
--- a/fallpulley/jobs/job_parts.py
+++ b/fallpulley/jobs/open_job_state.py
@@ -33,20 +33,20 @@
         self._indices: deque[int] = deque(range(task_count))
         self._is_queued = bytearray(b"\1") * task_count
 
-    def first_waiting(
+    def first_pending(
         self, limit: int, running: Container[int], is_completed: Callable[[int], bool]
     ) -> list[int]:
         """Return the first tasks that are neither running nor completed, at most `limit`."""
         indices = self._indices
         while indices and (indices[0] in running or is_completed(indices[0])):
             self._is_queued[indices.popleft()] = 0
-        waiting: list[int] = []
+        pending: list[int] = []
         for index in indices:
             if index not in running and not is_completed(index):
-                waiting.append(index)
-                if len(waiting) >= limit:
+                pending.append(index)
+                if len(pending) >= limit:
                     break
-        return waiting
+        return pending
 
     def requeue(self, index: int) -> None:
         """Put a task at the front of the queue, unless it is still in the queue.
@@ -73,13 +73,13 @@
 class RunTimeObservations(msgspec.Struct):
     """The observed run times of a job's completed tasks."""
 
-    tasks: int = 0  # how many run times were observed
-    total_s: float = 0.0  # their sum in seconds
+    observed_tasks: int = 0  # how many run times were observed
+    observed_run_s: float = 0.0  # their sum in seconds
 
     def record(self, run_s: float) -> None:
         """Add the run time of a completed task, in seconds."""
-        self.tasks += 1
-        self.total_s += run_s
+        self.observed_tasks += 1
+        self.observed_run_s += run_s
 
 
 class RetryState(msgspec.Struct):
@@ -109,7 +109,7 @@
 
     remaining_s: float = float("inf")  # seconds; infinite until it is estimated
     # What `remaining_s` was computed from: it is computed again only when this changes.
-    remaining_inputs: tuple[object, ...] = ()
+    estimate_inputs: tuple[object, ...] = ()
     deadline_at_risk: bool = False
 
     def update_deadline_risk(self, node: DependencyNode, wall_time: float) -> None:
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.effects import PendingResponse
 from fallpulley.jobs.admission import JobAdmission
 from fallpulley.jobs.cancellation import JobCancellation
@@ -17,10 +17,10 @@
 from fallpulley.jobs.pipelines import Pipelines
 from fallpulley.jobs.queries import JobQueries
 from fallpulley.jobs.responses import JobResponder
-from fallpulley.jobs.shard_choice import ShardChooser
+from fallpulley.jobs.shard_chooser import JobShardChooser
 from fallpulley.jobs.work_estimate import estimated_work_by_priority
-from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.watch_cache import WatchCache
 
 log = logging.getLogger(__name__)
@@ -57,7 +57,7 @@
             registry,
             self._index,
             self.teams,
-            ShardChooser(registry, self.teams, shard_of_team, self.estimated_work),
+            JobShardChooser(registry, self.teams, shard_of_team, self.estimated_work),
             self._queries,
             responder,
         )
@@ -88,9 +88,9 @@
         return self._index.entries
 
     @property
-    def open_by_shard(self) -> dict[str, set[str]]:
+    def open_job_ids_by_shard(self) -> dict[str, set[str]]:
         """The ids of open jobs by shard id."""
-        return self._index.open_by_shard
+        return self._index.open_job_ids_by_shard
 
     @property
     def task_counts(self) -> dict[str, tuple[int, int]]:
@@ -126,7 +126,7 @@
         return self._dependencies.pipelines
 
     @property
-    def cancelled_with_dependencies(self) -> dict[str, dict[str, JobEntry]]:
+    def cancelled_dependents(self) -> dict[str, dict[str, JobEntry]]:
         """The jobs that are cancelled because a dependency is: shard id -> job id -> entry.
 
         Their own stored records do not say so yet.
--- a/fallpulley/jobs/shard_choice.py
+++ b/fallpulley/jobs/shard_chooser.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Mapping
 
 from fallpulley.jobs.messages import Submission
-from fallpulley.records.registry import Registry
 from fallpulley.settings import Team
+from fallpulley.shared_records.registry import Registry
 
 
-class ShardChooser:
+class JobShardChooser:
     """Chooses the shard with the least work per processor that a new job may use."""
 
     def __init__(
--- a/fallpulley/membership/format_agreement.py
+++ b/fallpulley/membership/format_agreement.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.membership_writes import MembershipWrites
 from fallpulley.record_format import NEWEST_FORMAT
-from fallpulley.records.keys import FORMAT_KEY
-from fallpulley.records.messages import FormatMarker
-from fallpulley.records.registry import Registry
+from fallpulley.shared_records.keys import FORMAT_KEY
+from fallpulley.shared_records.messages import FormatMarker
+from fallpulley.shared_records.registry import Registry
 from fallpulley.state.transactions import Change, RequestPriority
 from fallpulley.state.watch_cache import WatchCache
 
@@ -49,7 +49,7 @@
         log.info("record format agreed format=%d", agreed)
         conditions = {FORMAT_KEY: self._watch.mod_revision(FORMAT_KEY)}
         change = Change(FORMAT_KEY, msgspec.json.encode(FormatMarker(agreed)))
-        self._writes.send(conditions, change, RequestPriority.ACCEPT)
+        self._writes.send(conditions, change, RequestPriority.INTERACTIVE)
 
     def _agreed_format(self) -> int:
         """Return the newest format that every controller has been seen to know.
--- a/fallpulley/membership/shard_assignment.py
+++ b/fallpulley/membership/shard_assignment.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.membership_writes import MembershipWrites
 from fallpulley.membership.session import SessionLease
-from fallpulley.records.keys import SESSION_PREFIX, SHARD_PREFIX
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import OwnerProcess, ShardRecord
-from fallpulley.records.versioned import Versioned
+from fallpulley.shared_records.keys import SESSION_PREFIX, SHARD_PREFIX
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import OwnerProcess, ShardRecord
+from fallpulley.shared_records.versioned import Versioned
 from fallpulley.state.transactions import Change
 from fallpulley.state.watch_cache import WatchCache
 
@@ -59,7 +59,7 @@
                 record.owner == self._context.controller_id
                 and record.incarnation != self._context.incarnation
             )
-            if owned_by_older_process or (leading and not self._registry.owner_alive(record)):
+            if owned_by_older_process or (leading and not self._registry.is_owner_alive(record)):
                 self._fail_over(shard_id, shard)
 
     def hand_off(self, shard_id: str, new_owner: str) -> None:
@@ -84,7 +84,7 @@
         This restores the distribution after a failover, once the controller has been live without a
         shard for `SURPLUS_HANDOFF_LEASES`. The new owner proceeds as after any failover.
         """
-        owned = self._owned_shards()
+        owned = self._owned_shard_ids()
         new_owner = self.controller_without_shard() if len(owned) > 1 else None
         if new_owner is None or new_owner == self._context.controller_id:
             self._without_shard_since = None
@@ -112,7 +112,7 @@
             return self._context.controller_id
         return next(iter(free), None)
 
-    def _owned_shards(self) -> list[str]:
+    def _owned_shard_ids(self) -> list[str]:
         this_process = (self._context.controller_id, self._context.incarnation)
         return [
             shard_id
@@ -157,7 +157,7 @@
         This takes one write, however many machines the shard has.
         """
         record_format = self._context.record_format
-        value = record.encode(record_format.compact, record_format.value_bytes)
+        value = record.encode(record_format.compact, record_format.max_value_bytes)
         self._writes.send(conditions, Change(key, value))
 
 
--- a/fallpulley/membership/shard_creation.py
+++ b/fallpulley/membership/shard_creation.py
@@ -5,16 +5,16 @@
 import itertools
 from typing import Protocol
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.membership.shard_assignment import ShardAssignment
-from fallpulley.records.registry import Registry
 from fallpulley.shard_sizes import FULL_RECORD_SHARE, shards_needed
+from fallpulley.shared_records.registry import Registry
 
 
 class ShardCreationPolicy(Protocol):
     """The shards that extensions ask for."""
 
-    def shards_to_open(self) -> list[str]:
+    def shards_to_create(self) -> list[str]:
         """Return the controllers that are to have a shard even if the machines need none."""
 
 
@@ -39,7 +39,7 @@
 
     def tick(self) -> None:
         """Create the shards that are needed. Only the leader may call this."""
-        for controller_id in self._policy.shards_to_open():
+        for controller_id in self._policy.shards_to_create():
             self._assignment.create_shard(controller_id, controller_id)
         if not self._create_for_machines() and self._all_records_full():
             # The records must hold all machines, even if no controller is without a shard.
@@ -72,7 +72,7 @@
         if record_format.paged and not all(record.pages for record, _ in shards.values()):
             # Some record is not divided into pages yet. That makes room, so it is done first.
             return False
-        full_bytes = FULL_RECORD_SHARE * record_format.value_bytes
+        full_bytes = FULL_RECORD_SHARE * record_format.max_value_bytes
         record_bytes = self._registry.record_bytes
         return bool(shards) and all(record_bytes[shard_id] > full_bytes for shard_id in shards)
 
--- a/fallpulley/resources.py
+++ b/fallpulley/resources.py
@@ -9,10 +9,10 @@
 
 
 class Resources(NamedTuple):
-    """Amounts of processors, accelerators and memory."""
+    """Amounts of processors, GPUs and memory."""
 
     cpus: float  # processors, may be a fraction
-    gpus: float  # accelerators
+    gpus: float
     memory_gb: float
 
     def fits_in(self, free: Resources) -> bool:
@@ -35,7 +35,7 @@
             self.cpus - other.cpus, self.gpus - other.gpus, self.memory_gb - other.memory_gb
         )
 
-    def minimum(self, other: Resources) -> Resources:
+    def elementwise_minimum(self, other: Resources) -> Resources:
         """Return the smaller amount of each resource."""
         return Resources(
             min(self.cpus, other.cpus),
--- a/fallpulley/scheduling/planner.py
+++ b/fallpulley/scheduling/planner.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.service import JobService
-from fallpulley.records.registry import Registry
 from fallpulley.scheduling.shard_plan import plan_shard
 from fallpulley.shards.agent import ShardAgent
+from fallpulley.shared_records.registry import Registry
 
 # The wait before the next plan, as a multiple of the duration of the last one: planning takes about
 # a twentieth of the time. The wait is limited to MAX_WAIT_INTERVALS heartbeat intervals, since free
@@ -71,4 +71,4 @@
         for machine_id in agent.shard.bookings:
             machine = agent.shard.machines.get(machine_id)
             if machine is not None and machine.heartbeat.received_at + interval_s > soon:
-                agent.direct.prompt_heartbeat(machine)
+                agent.direct_commands.prompt_heartbeat(machine)
--- a/fallpulley/scheduling/preemption.py
+++ b/fallpulley/scheduling/preemption.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Plan
 from fallpulley.placement.queue import PendingJob, is_eligible
@@ -190,7 +190,7 @@
 
 def _lost_work(run: TaskRun, job: OpenJob, now: float) -> float:
     """Return the processor-seconds that a stop of the task would lose."""
-    lost_s = now - run.started_at if run.started_at is not None else 0.0
+    lost_s = now - run.running_since if run.running_since is not None else 0.0
     if job.spec.checkpoint_interval_s > 0:
         lost_s = min(lost_s, CHECKPOINT_LOSS_SHARE * job.spec.checkpoint_interval_s)
     return max(lost_s, MIN_LOST_SECONDS) * max(run.resources.cpus, MIN_CPUS)
--- a/fallpulley/scheduling/shard_plan.py
+++ b/fallpulley/scheduling/shard_plan.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.placement.plan import Booking, Plan, make_plan
 from fallpulley.placement.victims import Preemption
-from fallpulley.records.registry import Registry
 from fallpulley.scheduling.pending_jobs import pending_jobs
 from fallpulley.scheduling.preemption import preemptions_for
 from fallpulley.scheduling.snapshot_builder import machine_snapshots
 from fallpulley.settings import Team
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
 
 
 class PlacementDecision(msgspec.Struct):
@@ -43,7 +43,7 @@
         by_job.setdefault(booking.job_id, []).append(booking)
         by_machine.setdefault(booking.machine_id, []).append(booking)
     for job_id, bookings in by_job.items():
-        task_indexes = shard.jobs[job_id].next_tasks(len(bookings))
+        task_indexes = shard.jobs[job_id].next_pending_tasks(len(bookings))
         for booking, task_index in zip(bookings, task_indexes, strict=True):
             booking.task_index = task_index
     return by_machine
--- a/fallpulley/scheduling/snapshot_builder.py
+++ b/fallpulley/scheduling/snapshot_builder.py
@@ -6,7 +6,7 @@
 
 from fallpulley.cloud.messages import MachineType
 from fallpulley.jobs.open_job import OpenJob
-from fallpulley.placement.estimate import remaining_run_time
+from fallpulley.placement.estimate import estimate_remaining_run_time
 from fallpulley.placement.profile import HeldResources
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.shards.shard import Shard
@@ -21,7 +21,7 @@
 # The time that a task needs to exit after a stop, in addition to saving its checkpoint.
 STOP_SECONDS = 1.0
 # Lower bound of a machine type's fetch rate, so that a fetch time can be computed if the rate is 0.
-MIN_FETCH_GB_PER_S = 1e-3
+MIN_FETCH_GB_PER_SECOND = 1e-3
 
 
 def machine_snapshots(
@@ -37,19 +37,19 @@
     for machine in shard.machines.values():
         if (
             not machine.usable
-            or not machine.flagged_occupied
+            or not machine.occupancy_flag
             or now < machine.reliability.refuses_tasks_until
-            or machine.scale_in.draining
+            or machine.departure.draining
         ):
             continue
-        snapshot = machine.snapshot
+        snapshot = machine.placement_snapshot
         if snapshot is None or now >= snapshot.valid_until:
             machine_type = machine_types.get(machine.entry.machine_type)
             if machine_type is None or _holds_unknown_tasks(machine):
                 # What is free on the machine is unknown: either its type is, or it holds unknown
                 # tasks, and then only until these are stopped.
                 continue
-            snapshot = machine.snapshot = builder.build(machine, machine_type)
+            snapshot = machine.placement_snapshot = builder.build(machine, machine_type)
         snapshots.append(snapshot)
     return snapshots
 
@@ -92,7 +92,7 @@
             machine.entry.zone,
             machine.entry.spot,
             machine_type.capacity,
-            max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S),
+            max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_SECOND),
             slowness,
             running,
             images,
@@ -105,8 +105,8 @@
         now = self.now
         job = self.shard.jobs.get(run.job_id)
         estimate_s = run.estimated_run_s if job is None else self._estimate_s(job) * slowness
-        if run.started_at is not None:
-            remaining_s = remaining_run_time(estimate_s, now - run.started_at)
+        if run.running_since is not None:
+            remaining_s = estimate_remaining_run_time(estimate_s, now - run.running_since)
         else:
             ready_at = images.get(job.spec.image, now) if job is not None else now
             remaining_s = estimate_s + max(0.0, ready_at - now)
--- a/fallpulley/shards/adoption.py
+++ b/fallpulley/shards/adoption.py
@@ -35,7 +35,7 @@
         job.resources,
         reported=True,
         state=status.state,
-        started_at=now if status.state == TaskState.RUNNING else None,
+        running_since=now if status.state == TaskState.RUNNING else None,
     )
     job.runs[run.task_index] = run
     machine.runs[run.task_id] = run
@@ -47,11 +47,11 @@
 def _is_needed(job: OpenJob, task: TaskId) -> bool:
     """Return whether the job still needs an attempt of the task.
 
-    It does not if it is cancelled, has no task of this index, has completed the task, or already
+    It does not if it has ended, has no task of this index, has completed the task, or already
     has an attempt of it.
     """
     return not (
-        job.cancelled
+        job.ended
         or task.task_index >= job.spec.task_count
         or job.is_completed(task.task_index)
         or task.task_index in job.runs
--- a/fallpulley/shards/commands.py
+++ b/fallpulley/shards/commands.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.messages import JobKind, parse_task_id
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.placement.plan import Booking
@@ -13,8 +13,8 @@
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import (
     ExitReason,
-    Operation,
     TaskCommand,
+    TaskOperation,
     TaskState,
     TaskStatus,
 )
@@ -24,9 +24,9 @@
 # Bound to module names because they are read for every task or job: looking up a member of an
 # enum takes ten times as long.
 _GANG = JobKind.GANG
-_FORGET = Operation.FORGET
-_STOP = Operation.STOP
-_START = Operation.START
+_FORGET = TaskOperation.FORGET
+_STOP = TaskOperation.STOP
+_START = TaskOperation.START
 
 # Bound to module names for the same speed-up: they are read for every task of a heartbeat.
 _EXITED = TaskState.EXITED
@@ -36,10 +36,12 @@
 class MachineCommands:
     """Makes the commands for one shard's machines, sent in heartbeat responses or directly."""
 
-    def __init__(self, context: ControllerContext, shard: Shard, direct: DirectCommands) -> None:
+    def __init__(
+        self, context: ControllerContext, shard: Shard, direct_commands: DirectCommands
+    ) -> None:
         self.context = context
         self.shard = shard
-        self.direct = direct
+        self.direct_commands = direct_commands
 
     def start(
         self, machine: Machine, job: OpenJob, booking: Booking, estimated_run_s: float
@@ -64,9 +66,9 @@
         machine.runs[run.task_id] = run
         self.shard.decisions.task_started(run)
         machine.heartbeat.start_unacknowledged = True
-        machine.snapshot = None
+        machine.placement_snapshot = None
         log.debug("task start commanded task=%s machine=%s", run.task_id, machine.machine_id)
-        machine.scale_in.idle_since = None
+        machine.departure.idle_since = None
         return TaskCommand(_START, run.task_id, run.attempt)
 
     def stop(self, run: TaskRun, grace_period_s: float) -> None:
@@ -80,15 +82,15 @@
         machine = self.shard.machines.get(run.machine_id)
         if machine is None:
             return
-        machine.snapshot = None
+        machine.placement_snapshot = None
         if run.reported and machine.entry.address:
             command = TaskCommand(_STOP, run.task_id, run.attempt, grace_period_s)
-            self.direct.send(machine, [command])
+            self.direct_commands.send(machine, [command])
 
     def preempt(self, machine_id: str, task_ids: list[str]) -> None:
         """Stop tasks at once to make room; their work since the last checkpoint is lost."""
         machine = self.shard.machines[machine_id]
-        machine.snapshot = None
+        machine.placement_snapshot = None
         commands = []
         for task_id in task_ids:
             run = machine.runs[task_id]
@@ -97,7 +99,7 @@
             commands.append(TaskCommand(_STOP, run.task_id, run.attempt, 0.0))
             log.info("task preempted task=%s machine=%s", run.task_id, machine_id)
         if machine.entry.address:
-            self.direct.send(machine, commands)
+            self.direct_commands.send(machine, commands)
 
     def pending_commands(self, machine: Machine) -> list[TaskCommand]:
         """Return the forget and stop commands for the response to a machine's heartbeat."""
@@ -134,6 +136,6 @@
         """
         task = parse_task_id(status.task_id)
         job = self.shard.jobs.get(task.job_id) if task else None
-        if task is None or job is None or job.cancelled or status.exit_reason is not _DONE:
+        if task is None or job is None or job.ended or status.exit_reason is not _DONE:
             return True
         return task.task_index < job.spec.task_count and job.is_durable(task.task_index)
--- a/fallpulley/shards/fencing_prober.py
+++ b/fallpulley/shards/fencing_prober.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.shards.direct_commands import WORKER_STATUSES, DirectCommands
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
@@ -24,10 +24,12 @@
 class FencingProber:
     """Probes machines in turn, so that unresponsive ones never keep others from being probed."""
 
-    def __init__(self, context: ControllerContext, shard: Shard, direct: DirectCommands) -> None:
+    def __init__(
+        self, context: ControllerContext, shard: Shard, direct_commands: DirectCommands
+    ) -> None:
         self.context = context
         self.shard = shard
-        self.direct = direct
+        self.direct_commands = direct_commands
         sockets = context.settings.facts.machine_limits.sockets
         self.max_in_flight = max(MIN_IN_FLIGHT, int(SOCKET_SHARE * sockets))
         self.in_flight = 0  # number of probes that have no outcome yet
@@ -49,7 +51,11 @@
                 return
             machine_id = self._queue.popleft()
             machine = shard.machines.get(machine_id)
-            if machine is None or machine_id not in shard.unreconciled or machine.fencing.fenced:
+            if (
+                machine is None
+                or machine_id not in shard.unreconciled
+                or machine.fencing.token_confirmed
+            ):
                 # It is reconciled, has reported this owner's token, or has left the shard.
                 continue
             self._queue.append(machine_id)
@@ -63,7 +69,8 @@
         # A machine that sent a heartbeat within the last interval is sent this owner's token in the
         # response, and reports it with its next heartbeat: it needs no probe until then.
         has_token = (
-            now < machine.fencing.unfenced_heartbeat_at + self.context.timing.heartbeat_interval_s
+            now
+            < machine.fencing.unconfirmed_heartbeat_at + self.context.timing.heartbeat_interval_s
         )
         return (
             bool(machine.entry.address)
@@ -84,4 +91,4 @@
             machine.fencing.probe_in_flight = False
             machine.fencing.probe_failures += status not in WORKER_STATUSES
 
-        self.direct.send(machine, [], on_status)
+        self.direct_commands.send(machine, [], on_status)
--- a/fallpulley/shards/run_times.py
+++ b/fallpulley/shards/run_times.py
@@ -21,14 +21,16 @@
     `run` is the attempt that completed the task; None if this owner does not know that attempt.
     """
     machine.reliability.completed_tasks += 1
-    if run is None or run.started_at is None or job.spec.kind is _SERVICE:
+    if run is None or run.running_since is None or job.spec.kind is _SERVICE:
         return
-    run_s = max(MIN_RUN_SECONDS, shard.context.now - run.started_at)
+    run_s = max(MIN_RUN_SECONDS, shard.context.now - run.running_since)
     # Read before the run time is recorded, because that changes the estimate.
     estimated_s = shard.estimate_run_s(job)
     machine.speed.record(run_s / estimated_s)
     job.run_times.record(run_s)
     job_class = job.spec.job_class
     shard.corrections.record_run_time(job_class, job.spec.estimated_run_s, run_s)
-    shard.decisions.run_time_learned(job.job_id, job.run_times.tasks, job.run_times.total_s)
-    shard.decisions.class_correction_learned(job_class, shard.corrections.factor(job_class))
+    shard.decisions.run_time_observed(
+        job.job_id, job.run_times.observed_tasks, job.run_times.observed_run_s
+    )
+    shard.decisions.correction_changed(job_class, shard.corrections.factor(job_class))
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -11,15 +11,15 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.messages import JobKind, JobRecord
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.jobs.pipelines import DependencyNode
-from fallpulley.placement.estimate import Corrections, run_estimate
+from fallpulley.placement.estimate import Corrections, estimate_run_time
 from fallpulley.placement.plan import Booking
-from fallpulley.records.shard_record import MachineEntry, ShardRecord
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.decisions import NULL_DECISION_SINK, DecisionSink
+from fallpulley.shared_records.shard_record import MachineEntry, ShardRecord
 from fallpulley.timing import CLOCK_DRIFT
 from fallpulley.workers.machine import Machine, TaskRun
 from fallpulley.workers.messages import TaskState
@@ -55,7 +55,7 @@
         shard_id: str,
         record: ShardRecord,
         mod_revision: int,
-        fresh: bool,
+        never_owned: bool,
     ):
         """Create the state of a shard that was just acquired.
 
@@ -64,7 +64,7 @@
             shard_id: The shard.
             record: The record that made this controller the owner.
             mod_revision: The revision of that record.
-            fresh: Whether the shard had no owner before.
+            never_owned: Whether the shard had no owner before.
         """
         self.context = context
         self.shard_id = shard_id
@@ -74,7 +74,7 @@
         self.fencing_token = mod_revision  # the revision of the newest record
         self.acquired_revision = mod_revision
         self.acquired_at = context.now
-        self.acquired_by_failover = not fresh
+        self.acquired_by_failover = not never_owned
         # Whether the record is to be written again, because a newer revision is needed to raise the
         # machines' tokens or to issue attempt numbers.
         self.needs_new_revision = False
@@ -97,7 +97,7 @@
 
         # Jobs, and what is planned for them.
         self.jobs: dict[str, OpenJob] = {}
-        self.progress_loaded = fresh  # whether the jobs' stored progress has been read
+        self.progress_loaded = never_owned  # whether the jobs' stored progress has been read
         self.bookings: dict[str, list[Booking]] = {}  # tasks to start now, by machine_id
         self.needs_replan = True
         self.attempt_numbers = AttemptNumbers(mod_revision)
@@ -160,7 +160,9 @@
         if job.spec.kind is _SERVICE:
             return SERVICE_LEASES * self.context.timing.lease_s
         corrected_s = job.spec.estimated_run_s * self.corrections.factor(job.spec.job_class)
-        return run_estimate(corrected_s, job.run_times.tasks, job.run_times.total_s)
+        return estimate_run_time(
+            corrected_s, job.run_times.observed_tasks, job.run_times.observed_run_s
+        )
 
     # -- machines --------------------------------------------------------------------------
 
@@ -178,7 +180,7 @@
             ]:
                 self._add_machine(machine_id, record.machines[machine_id])
         for machine_id in self.unacknowledged:
-            if self.machines[machine_id].fencing.fenced:
+            if self.machines[machine_id].fencing.token_confirmed:
                 self.machines[machine_id].fencing.advance_token(mod_revision)
         self.needs_replan = True
 
@@ -234,7 +236,7 @@
         machine.runs.clear()
         machine.tasks = {}
         machine.heartbeat.reported_tasks = []
-        machine.snapshot = None
+        machine.placement_snapshot = None
         self.needs_replan = True
         self.occupancy_due[machine.machine_id] = None
 
@@ -244,8 +246,8 @@
         if job is None or job.runs.get(run.task_index) is not run:
             return
         del job.runs[run.task_index]
-        self.decisions.task_gone(run, "gone")
+        self.decisions.task_ended(run, "gone")
         job.requeue(run.task_index)
         self.needs_replan = True
-        if job.cancelled and not job.runs:
+        if job.ended and not job.runs:
             self.jobs.pop(job.job_id, None)
--- a/fallpulley/shards/task_changes.py
+++ b/fallpulley/shards/task_changes.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.jobs.messages import parse_task_id
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.shards.adoption import adopt_task
@@ -38,16 +38,16 @@
             self._on_vanished(run)
         for exited in changes.exited:
             self._on_exited(machine, exited)
-        for run in changes.started:
+        for run in changes.image_fetch_completed:
             self._on_started(machine, run)
         for status in changes.unknown_tasks:
             adopt_task(self.shard, machine, status)
         if changes.vanished or changes.exited:
             self.shard.needs_replan = True
         if not machine.empty:
-            machine.scale_in.idle_since = None
-        elif machine.scale_in.idle_since is None:
-            machine.scale_in.idle_since = self.context.now
+            machine.departure.idle_since = None
+        elif machine.departure.idle_since is None:
+            machine.departure.idle_since = self.context.now
 
     def _on_vanished(self, run: TaskRun) -> None:
         self.shard.drop_run(run)
@@ -70,14 +70,14 @@
             return
         if run is not None:
             job.runs.pop(run.task_index, None)
-            self.shard.decisions.task_gone(run, status.exit_reason or "")
+            self.shard.decisions.task_ended(run, status.exit_reason or "")
         if status.exit_reason is _DONE:
             if job.progress.record_completion(task.task_index, self.context.now):
                 log.debug("task completed task=%s machine=%s", status.task_id, machine.machine_id)
                 record_run_time(self.shard, machine, job, run)
         elif run is not None:
             self._on_failed(machine, job, run, status.exit_reason)
-        if job.cancelled and not job.runs:
+        if job.ended and not job.runs:
             self.shard.jobs.pop(job.job_id, None)
 
     def _on_failed(
--- a/fallpulley/records/layout.py
+++ b/fallpulley/shared_records/layout.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from fallpulley.records.keys import SHARD_PREFIX, page_key
-from fallpulley.records.machine_encoding import Machines, without_addresses
-from fallpulley.records.shard_change import RecordLimits, RecordUpdate
-from fallpulley.records.shard_record import MachinePage, ShardRecord, encode_page
+from fallpulley.shared_records.keys import SHARD_PREFIX, page_key
+from fallpulley.shared_records.machine_encoding import Machines, without_addresses
+from fallpulley.shared_records.shard_change import RecordLimits, RecordUpdate
+from fallpulley.shared_records.shard_record import MachinePage, ShardRecord, encode_page
 from fallpulley.state.transactions import MAX_TRANSACTION_BYTES, Change
 
 # Maximum number of machines in a single value; more are laid out in pages. Every controller
@@ -19,7 +19,7 @@
 
 
 def encode_single_value(record: ShardRecord, machines: Machines, limits: RecordLimits) -> bytes:
-    """Return the record with these machines as one value; it may exceed `limits.value_bytes`.
+    """Return the record with these machines as one value; it may exceed `limits.max_value_bytes`.
 
     Where the machines can be laid out in pages instead, addresses are left out only if the value
     would exceed a whole transaction, or if it is too large with a single machine. In the compact
@@ -27,10 +27,10 @@
     format always keeps them.
     """
     changed = ShardRecord(record.owner, record.incarnation, machines, record.previous_owners)
-    max_bytes = MAX_TRANSACTION_BYTES if limits.paged else limits.value_bytes
+    max_bytes = MAX_TRANSACTION_BYTES if limits.paged else limits.max_value_bytes
     value = changed.encode(limits.compact, max_bytes)
-    if len(value) > limits.value_bytes and len(machines) == 1:
-        value = changed.encode(limits.compact, limits.value_bytes)
+    if len(value) > limits.max_value_bytes and len(machines) == 1:
+        value = changed.encode(limits.compact, limits.max_value_bytes)
     return value
 
 
@@ -43,14 +43,14 @@
 def page_change(shard_id: str, number: int, page: MachinePage, limits: RecordLimits) -> Change:
     """Return the change that writes a page, without addresses if they make it too large."""
     value = encode_page(page)
-    if len(value) > limits.value_bytes:
+    if len(value) > limits.max_value_bytes:
         value = encode_page(MachinePage(page.version, without_addresses(page.machines)))
     return Change(page_key(shard_id, number), value)
 
 
 def is_too_large(page: MachinePage, limits: RecordLimits) -> bool:
     """Return whether the page with its addresses exceeds the size of a value."""
-    return len(encode_page(page)) > limits.value_bytes
+    return len(encode_page(page)) > limits.max_value_bytes
 
 
 def split_into_pages(
@@ -111,4 +111,4 @@
         return False
     if len(record.pages) + 1 > limits.max_changes:
         return False
-    return len(encode_single_value(record, record.machines, limits)) * 2 <= limits.value_bytes
+    return len(encode_single_value(record, record.machines, limits)) * 2 <= limits.max_value_bytes
--- a/fallpulley/records/shard_change.py
+++ b/fallpulley/shared_records/shard_change.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from fallpulley.records.machine_encoding import MachineEntry, Machines
+from fallpulley.shared_records.machine_encoding import MachineEntry, Machines
 from fallpulley.state.transactions import Change
 
 
@@ -15,7 +15,7 @@
 
     compact: bool  # whether the compact format or a newer one may be written
     paged: bool  # whether the paged format may be written
-    value_bytes: int  # maximum size of one value, in bytes
+    max_value_bytes: int  # maximum size of one value, in bytes
     max_changes: int  # maximum number of changed keys, including the record itself
 
 
--- a/fallpulley/records/writer.py
+++ b/fallpulley/shared_records/writer.py
@@ -7,21 +7,21 @@
 
 import msgspec
 
-from fallpulley.context import ControllerContext
-from fallpulley.records.pending_changes import PendingChanges
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import MachineEntry, ShardRecord
-from fallpulley.records.transactions import (
-    ShardTransaction,
-    TransactionBuilder,
-    without_previous_owners,
-)
-from fallpulley.records.versioned import Versioned
+from fallpulley.controller_context import ControllerContext
 from fallpulley.shard_sizes import (
     COMPACT_ENTRY_BYTES,
     FIRST_FORMAT_ENTRY_BYTES,
     FULL_RECORD_SHARE,
 )
+from fallpulley.shared_records.pending_changes import PendingChanges
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import MachineEntry, ShardRecord
+from fallpulley.shared_records.transactions import (
+    ShardTransaction,
+    TransactionBuilder,
+    without_previous_owners,
+)
+from fallpulley.shared_records.versioned import Versioned
 from fallpulley.state.transactions import RequestPriority, Write, WriteResult
 from fallpulley.state.watch_cache import WatchCache
 
@@ -79,7 +79,7 @@
 
         Only the owner may request it, once it places no more tasks on the machine.
         """
-        self._pending[shard_id].moving[machine_id] = to
+        self._pending[shard_id].destinations[machine_id] = to
 
     def set_occupied(self, shard_id: str, machine_id: str, occupied: bool) -> None:
         """Request to write a machine's occupancy flag; only the owner may request it.
@@ -96,12 +96,12 @@
         """Omit the previous owners from the next write on: their response windows have ended."""
         self._shards_without_previous_owners.add(shard_id)
 
-    def forget_shard(self, shard_id: str) -> None:
+    def discard_owner_requests(self, shard_id: str) -> None:
         """Discard this controller's requests for a shard that another controller now owns.
 
         Only requests to add machines stay: any controller may make these.
         """
-        self._pending[shard_id].clear_owners_requests()
+        self._pending[shard_id].discard_owner_requests()
         self._shards_without_previous_owners.discard(shard_id)
 
     # -- pending requests --------------------------------------------------------------------------
@@ -114,9 +114,9 @@
         """Return whether the machine is to be added to any shard."""
         return any(machine_id in pending.adding for pending in self._pending.values())
 
-    def has_moves(self, shard_id: str) -> bool:
+    def has_pending_moves(self, shard_id: str) -> bool:
         """Return whether machines of the shard are to be moved to other shards."""
-        return bool(self._pending[shard_id].moving)
+        return bool(self._pending[shard_id].destinations)
 
     def pending_occupancy(self, shard_id: str) -> Mapping[str, bool]:
         """Return requested occupancy flags, by machine, that may not be in the record yet."""
@@ -135,7 +135,7 @@
         pending = self._pending[shard_id]
         return (
             machine_id in pending.removing
-            or machine_id in pending.moving
+            or machine_id in pending.destinations
             or self._write_states[shard_id].is_unresolved
         )
 
@@ -149,13 +149,13 @@
         entry_bytes = COMPACT_ENTRY_BYTES if record_format.compact else FIRST_FORMAT_ENTRY_BYTES
         added = len(self._pending[shard_id].adding) + 1
         filled = self.registry.record_bytes.get(shard_id, 0)
-        return filled + added * entry_bytes <= record_format.value_bytes
+        return filled + added * entry_bytes <= record_format.max_value_bytes
 
     def _header_is_full(self, shard_id: str) -> bool:
         """Return whether the shard has so many pages that their list nearly fills its record."""
         shard = self.registry.shards.get(shard_id)
         filled = self.registry.record_bytes.get(shard_id, 0)
-        full_bytes = FULL_RECORD_SHARE * self.context.record_format.value_bytes
+        full_bytes = FULL_RECORD_SHARE * self.context.record_format.max_value_bytes
         return shard is not None and bool(shard.value.pages) and filled > full_bytes
 
     # -- writing -----------------------------------------------------------------------------------
@@ -206,7 +206,7 @@
         If both moves and other changes are pending, they alternate.
         """
         transaction = None
-        if pending.moving and (pending.has_only_moves or not state.last_write_was_move):
+        if pending.destinations and (pending.has_only_moves or not state.last_write_was_move):
             transaction = self._transactions.build_move(shard_id, shard, pending)
         if transaction is not None:
             state.last_write_was_move = True
@@ -234,5 +234,7 @@
             )
 
         self.context.state_client.write(
-            Write(transaction.conditions, transaction.changes, on_result, RequestPriority.ACCEPT)
+            Write(
+                transaction.conditions, transaction.changes, on_result, RequestPriority.INTERACTIVE
+            )
         )
--- a/fallpulley/shares/requests.py
+++ b/fallpulley/shares/requests.py
@@ -85,7 +85,7 @@
 
     def _write(self, request: OperatorRequest, set_shares: SetShares, table: ShareTable) -> None:
         value = msgspec.json.encode(table)
-        if len(value) > self._access.context.record_format.value_bytes:
+        if len(value) > self._access.context.record_format.max_value_bytes:
             self._respond_refused(request, "too long for a record")
             return
 
@@ -99,7 +99,7 @@
                     lambda current: self._respond_with_outcome(request, set_shares, current)
                 )
 
-        self._record.write(value, on_result, RequestPriority.ACCEPT)
+        self._record.write(value, on_result, RequestPriority.INTERACTIVE)
 
     def _respond_with_outcome(
         self, request: OperatorRequest, set_shares: SetShares, current: bool
--- a/fallpulley/shares/service.py
+++ b/fallpulley/shares/service.py
@@ -6,8 +6,8 @@
 from fallpulley.effects import OperatorRequest
 from fallpulley.extensions import Extension
 from fallpulley.jobs.service import JobService
-from fallpulley.records.keys import SHARES_KEY
-from fallpulley.records.writer import ShardWriter
+from fallpulley.shared_records.keys import SHARES_KEY
+from fallpulley.shared_records.writer import ShardWriter
 from fallpulley.shares.policy_runner import PolicyRunner
 from fallpulley.shares.reconciler import Reconciler, Targets
 from fallpulley.shares.record import ShareRecord
@@ -58,7 +58,7 @@
                 return controller_id
         return None
 
-    def shards_to_open(self) -> list[str]:
+    def shards_to_create(self) -> list[str]:
         """Return the controllers that have a share and a session but no shard yet."""
         registry = self._access.registry
         return [
@@ -69,10 +69,10 @@
             and controller_id in registry.sessions
         ]
 
-    def shard_for_rental(self, asked_for: str) -> str:
+    def shard_for_rental(self, requesting_shard: str) -> str:
         """Return the shard furthest below its target: it gets the new machines."""
         if not self._record.table.shares:
-            return asked_for
+            return requesting_shard
         targets = self._targets()
         deficits = {
             shard_id: targets.target[shard_id] - targets.actual[shard_id]
@@ -80,12 +80,14 @@
         }
         return max(
             deficits,
-            key=lambda shard_id: (deficits[shard_id], shard_id == asked_for),
-            default=asked_for,
+            key=lambda shard_id: (deficits[shard_id], shard_id == requesting_shard),
+            default=requesting_shard,
         )
 
     def _targets(self) -> Targets:
-        busy_shards = {shard_id for shard_id, jobs in self._jobs.open_by_shard.items() if jobs}
+        busy_shards = {
+            shard_id for shard_id, jobs in self._jobs.open_job_ids_by_shard.items() if jobs
+        }
         return self._reconciler.targets(self._record.table, busy_shards)
 
     # -- time ------------------------------------------------------------------------------
@@ -99,7 +101,7 @@
             context.now + RECONCILE_HEARTBEAT_INTERVALS * context.timing.heartbeat_interval_s
         )
         targets = self._targets()
-        for shard in self._access.owned.shards.values():
+        for shard in self._access.owned_shards.shards.values():
             if self._access.session.is_live() and not shard.unreconciled:
                 self._reconciler.reconcile(shard, targets)
         if self._access.is_leader:
--- a/fallpulley/shares/status.py
+++ b/fallpulley/shares/status.py
@@ -56,10 +56,10 @@
 
     def _shard_state(self, shard_id: str, targets: Targets, has_moves: bool) -> ShardState:
         record, _ = self._access.registry.shards[shard_id]
-        shard = self._access.owned.shards.get(shard_id)
+        shard = self._access.owned_shards.shards.get(shard_id)
         draining = None
         if shard is not None:
-            draining = sum(machine.scale_in.draining for machine in shard.machines.values())
+            draining = sum(machine.departure.draining for machine in shard.machines.values())
         has_shares = bool(self._record.table.shares)
         return ShardState(
             shard_id,
@@ -74,7 +74,7 @@
     def _progress(self, shard_id: str, shard: Shard | None, draining: int | None) -> ShardProgress:
         """Return the reason why the shard has not reached its share yet."""
         record, _ = self._access.registry.shards[shard_id]
-        if not self._access.registry.owner_alive(record):
+        if not self._access.registry.is_owner_alive(record):
             return ShardProgress.CONTROLLER_ABSENT
         if shard is not None and shard.unreconciled:
             return ShardProgress.UNRECONCILED
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -5,11 +5,11 @@
 import logging
 from collections.abc import Callable
 
-from fallpulley.context import ControllerContext
+from fallpulley.controller_context import ControllerContext
 from fallpulley.extensions import Extension
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_record import OwnerProcess
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_record import OwnerProcess
 from fallpulley.standby.failover import ExpectedTasks, apply_replica, log_comparison
 from fallpulley.standby.follower import FollowedShard, Follower, ShardOwner
 from fallpulley.standby.messages import (
@@ -47,7 +47,7 @@
 SendMessage = Callable[[str, bytes], None]
 
 
-class Standby(Extension):
+class StandbyService(Extension):
     """Replication of one controller: the streams it sends and the replicas it keeps."""
 
     peer_message_prefix = b'["standby_'
@@ -203,13 +203,13 @@
 
     # -- leadership ------------------------------------------------------------------------
 
-    def hold_off_s(self) -> float:
+    def leader_claim_delay_s(self) -> float:
         """Return how long to leave a vacant leadership to others with newer replicas, in seconds.
 
         After that time this controller claims the leadership even if those others have sessions.
         """
         for shard_id, (record, _) in self.registry.shards.items():
-            if not self.registry.owner_alive(record) and self._others_newer(shard_id):
+            if not self.registry.is_owner_alive(record) and self._others_newer(shard_id):
                 return CLAIM_DELAY_SESSIONS * self.context.timing.session_s
         return 0.0
 
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -35,7 +35,7 @@
 # Share of a bucket's capacity that requests of a priority leave to more urgent ones, so that a
 # lease renewal or an accepted job never waits until the tokens that a burst of less urgent
 # requests has spent are refilled.
-RESERVED_SHARE = {RequestPriority.PROGRESS: 0.4, RequestPriority.READ: 0.2}
+RESERVED_SHARE = {RequestPriority.BACKGROUND: 0.4, RequestPriority.READ: 0.2}
 # Share of the change bucket's capacity that is enough to send any write; a smaller write needs only
 # one token for each of its changes. Without this, a write with more changes than the capacity would
 # never be sent.
@@ -88,7 +88,7 @@
         self.timeout_s = REQUEST_TIMEOUT_SECONDS
         # Size in bytes above which the service refuses values once its future limits hold. A
         # refused write with a larger value shows that they do: `on_future_limits` is called.
-        self.future_value_bytes = float("inf")
+        self.future_max_value_bytes = float("inf")
         self.on_future_limits: Callable[[], None] = _ignore_future_limits
         # Rates of requests and changes a second that hold in future. They are adopted when the
         # service first refuses a transaction for its rate.
@@ -237,7 +237,7 @@
         Of several writes it is not known which is invalid: each is sent again by itself.
         """
         values = (change.value or b"" for write in writes for change in write.changes)
-        if any(len(value) > self.future_value_bytes for value in values):
+        if any(len(value) > self.future_max_value_bytes for value in values):
             self.on_future_limits()
         if len(writes) > 1:
             for write in writes:
--- a/fallpulley/state/transactions.py
+++ b/fallpulley/state/transactions.py
@@ -22,8 +22,8 @@
     """Order in which requests are sent when the budgets do not allow all; lower values first."""
 
     RENEWAL = 0
-    ACCEPT = 1
-    PROGRESS = 2
+    INTERACTIVE = 1
+    BACKGROUND = 2
     READ = 3
 
 
@@ -95,7 +95,7 @@
     conditions: dict[str, int]
     changes: list[Change]
     on_result: WriteCallback  # called once
-    priority: RequestPriority = RequestPriority.ACCEPT
+    priority: RequestPriority = RequestPriority.INTERACTIVE
     isolated: bool = False  # sent in a transaction of its own
     # Time after which the write is refused if it is still queued (monotonic clock, in seconds).
     expires_at: float = float("inf")
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -476,7 +476,7 @@
             made, f"boot-{self.controller_starts}", lambda: self.now
         )
         if older:
-            self.controllers[label].parts.session.record_format = 1
+            self.controllers[label].components.session.record_format = 1
 
     def crash(self, *labels: str) -> None:
         for label in labels:
@@ -618,7 +618,7 @@
                         (self.now + wait_s, lambda: respond(status, _json(answer)))
                     )
         elif call.address == CLOUD_ADDRESS:
-            sender = f"{label} {caller.parts.context.incarnation}"
+            sender = f"{label} {caller.components.context.incarnation}"
             late_s = self.unanswered_cloud_actions.get(label, 0.0)
             if self.is_partitioned(label, "cloud"):
                 self.scheduled.append((self.now + call.timeout_s, lambda: respond(None, b"")))
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -13,7 +13,7 @@
 
 from fallpulley.effects import Request, Response
 from fallpulley.heartbeats.deferral import DeferredHeartbeat
-from fallpulley.records.shard_record import decode_shard
+from fallpulley.shared_records.shard_record import decode_shard
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster, job_spec
 from tests.test_fault_tolerance import replay_heartbeat, task_start_count
 from tests.test_jobs_and_takeovers import busy_cluster, other_controllers, ready_cluster, submit_job
@@ -87,16 +87,16 @@
     before = len(cluster.task_starts)
     assert (
         uid
-        in cluster.controllers[old].parts.jobs.open_by_shard[
-            next(iter(cluster.controllers[old].parts.owned.shards))
+        in cluster.controllers[old].components.jobs.open_job_ids_by_shard[
+            next(iter(cluster.controllers[old].components.owned_shards.shards))
         ]
     )
-    cluster.controllers[old].parts.job_sync.sync(uid)
+    cluster.controllers[old].components.job_sync.sync(uid)
     cluster.run(4.0)
     assert len(cluster.task_starts) == before
     cluster.refused_controllers.clear()
     cluster.run(5.0)
-    assert not cluster.controllers[old].parts.job_sync._cancelled_before_record and job_states(
+    assert not cluster.controllers[old].components.job_sync._cancelled_before_record and job_states(
         cluster, uid
     ) == {"withdrawn"}
 
@@ -105,18 +105,20 @@
     """One that waited for the next plan was answered without another look at the clock."""
     cluster, _ = busy_cluster(8, 60.0)
     controller = cluster.controllers[cluster.owner()]
-    (shard,) = controller.parts.owned.shards.values()
+    (shard,) = controller.components.owned_shards.shards.values()
     (host, machine) = next(iter(shard.machines.items()))
     answers: list[int] = []
 
     def ticket(status: int, body: bytes, retry_after: float | None) -> None:
         answers.append(status)
 
-    controller.parts.heartbeats.deferred.waiting.append(
-        DeferredHeartbeat(ticket, controller.parts.owned.agents[shard.shard_id], machine, True, 0.0)
+    controller.components.heartbeats.deferred.waiting.append(
+        DeferredHeartbeat(
+            ticket, controller.components.owned_shards.agents[shard.shard_id], machine, True, 0.0
+        )
     )
-    controller.parts.watch.fresh_at = (
-        controller.parts.context.now - controller.parts.context.timing.response_window_s
+    controller.components.watch.fresh_at = (
+        controller.components.context.now - controller.components.context.timing.response_window_s
     )
     cluster.step()
     assert answers == [503] and host in shard.machines
@@ -237,14 +239,14 @@
     cluster.run_until(lambda: is_marked_occupied(cluster, host), 5.0)
     node = cluster.owner()
     controller = cluster.controllers[node]
-    writer, (label,) = controller.parts.writer, controller.parts.owned.shards
-    record, _ = controller.parts.registry.shards[label]
+    writer, (label,) = controller.components.writer, controller.components.owned_shards.shards
+    record, _ = controller.components.registry.shards[label]
     assert record.machines[host].occupied
     writer.set_occupied(label, host, False)
     cluster.unanswered_transactions[node] = (
         0.0  # carried out, unanswered, and not seen here for a while
     )
-    controller.parts.watch.subscribe(lambda key, value, mod_revision: None)
+    controller.components.watch.subscribe(lambda key, value, mod_revision: None)
     cluster.run_until(lambda: not is_marked_occupied(cluster, host), 5.0)
     cluster.run(2.0)
     cluster.unanswered_transactions.clear()
@@ -312,8 +314,8 @@
     } and cluster.state.rate_limited_transactions == 0
     cluster.run(15.0)
     for controller in cluster.controllers.values():
-        assert all(not shard.jobs for shard in controller.parts.owned.shards.values())
-        assert all(known.record is None for known in controller.parts.jobs.entries.values())
+        assert all(not shard.jobs for shard in controller.components.owned_shards.shards.values())
+        assert all(known.record is None for known in controller.components.jobs.entries.values())
 
 
 # -- limits, cancels and a change of leader --------------------------------------------------
@@ -436,13 +438,13 @@
 def test_hand_over_and_back_then_all_end_and_one_returns_within_a_second() -> None:
     cluster, uid = busy_cluster(6, 15.0)
     first = cluster.owner()
-    leadership = cluster.controllers[first].parts.leadership
-    (label,) = cluster.controllers[first].parts.owned.shards
+    leadership = cluster.controllers[first].components.leadership
+    (label,) = cluster.controllers[first].components.owned_shards.shards
     leadership.hand_off(label, other_controllers(first)[0])
     cluster.run_until(lambda: cluster.owner() != first, 5.0)
     second = cluster.owner()
     cluster.run(0.5)
-    cluster.controllers[second].parts.leadership.hand_off(label, first)
+    cluster.controllers[second].components.leadership.hand_off(label, first)
     cluster.run_until(lambda: cluster.owner() == first, 5.0)
     cluster.crash(*CONTROLLER_LABELS)
     cluster.run(0.5)
@@ -466,7 +468,7 @@
     cluster.crash(old)
     cluster.run_until(lambda: cluster.owner() != old, 10.0)
     cluster.run(0.5)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     cluster.run_until(lambda: bool(shard.machines[dead].runs), 5.0)
     assert not shard.machines[dead].heartbeat.online
     cluster.workers[dead].hung = True
@@ -522,12 +524,12 @@
     cluster.crash(old)
     cluster.run_until(lambda: cluster.owner() != old, 10.0)
     cluster.run(4.0)
-    agent = next(iter(cluster.controllers[cluster.owner()].parts.owned.agents.values()))
+    agent = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.agents.values()))
     shard = agent.shard
     before = (shard.machines[host].heartbeat.agent_epoch, shard.machines[host].heartbeat.sequence)
     assert replay_heartbeat(cluster, cluster.owner(), body) == [503]
     # As an answer of `/do` that was held up it is no news either.
-    agent.direct.on_response(shard.machines[host], Response(200, body, cluster.now))
+    agent.direct_commands.on_response(shard.machines[host], Response(200, body, cluster.now))
     assert (
         shard.machines[host].heartbeat.agent_epoch,
         shard.machines[host].heartbeat.sequence,
@@ -555,7 +557,7 @@
     cluster, uid = busy_cluster(4, 6.0)
     host = next(iter(cluster.workers))
     worker = cluster.workers[host]
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     run = next(iter(shard.machines[host].runs.values()))
     late = {
         "baton": shard.machines[host].fencing.token,
@@ -574,7 +576,7 @@
 def test_a_check_in_overtaken_by_an_answer_of_do_still_gets_its_stops() -> None:
     """Its reply renews the lease; without the stops, a cancelled task could go on with it."""
     cluster, uid = busy_cluster(4, 300.0)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     for host, machine in shard.machines.items():
         machine.heartbeat.sequence += (
             60  # as if newer answers of `/do` had come before all its reports
@@ -712,9 +714,9 @@
 def test_a_machine_whose_move_was_called_off_is_used_again() -> None:
     cluster = ready_cluster(2)
     controller = cluster.controllers[cluster.owner()]
-    (shard,) = controller.parts.owned.shards.values()
+    (shard,) = controller.components.owned_shards.shards.values()
     machine = next(iter(shard.machines.values()))
-    machine.scale_in.leaving_shard = True
+    machine.departure.leaving_shard = True
     cluster.run(1.0)
     assert machine.usable
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -88,7 +88,7 @@
 
 def all_machines_recorded(cluster: SimulatedCluster) -> bool:
     """Every machine that there is stands in the record of a block."""
-    registry = cluster.controllers[leader(cluster)].parts.registry
+    registry = cluster.controllers[leader(cluster)].components.registry
     return all(host in registry.shard_of_machine for host in cluster.workers)
 
 
@@ -143,9 +143,9 @@
 
 def is_returning(cluster: SimulatedCluster, label: str, host: str) -> bool:
     """The controller has just asked the cloud to take the machine back."""
-    provider = cluster.controllers[label].parts.provider
+    provider = cluster.controllers[label].components.provider
     asked = host in provider.release_requested and provider.releases.next_attempt_at > cluster.now
-    if cluster.controllers[label].parts.extensions.find(DutiesService) is not None:
+    if cluster.controllers[label].components.extensions.find(DutiesService) is not None:
         return asked and any("returning" in key for key in open_intents(cluster))
     return asked
 
@@ -198,7 +198,7 @@
     submit_job(cluster, 1, pieces=8)
     cluster.run_until(lambda: bool(open_intents(cluster)), 60.0)
     old = leader(cluster)
-    boot = cluster.controllers[old].parts.context.incarnation
+    boot = cluster.controllers[old].components.context.incarnation
     cluster.paused_controllers.add(old)
     cluster.run_until(
         lambda: leader(cluster) != old if "live/leader" in cluster.state.entries else False, 20.0
@@ -260,15 +260,15 @@
     cluster.run_until(lambda: cluster.owner() in cluster.controllers, 10.0)
     owner = cluster.owner()
     cluster.run_until(
-        lambda: quiet in cluster.controllers[owner].parts.provider.release_requested, 20.0
+        lambda: quiet in cluster.controllers[owner].components.provider.release_requested, 20.0
     )
     cluster.unanswered_transactions[owner] = 8.0
     cluster.run_until(lambda: service(cluster, owner).intents.has_writes_in_flight, 5.0)
     cluster.step()
     cluster.unanswered_transactions.clear()
-    (shard_id,) = cluster.controllers[owner].parts.owned.shards
+    (shard_id,) = cluster.controllers[owner].components.owned_shards.shards
     other = next(label for label in cluster.controllers if label != owner)
-    cluster.controllers[owner].parts.leadership.hand_off(shard_id, other)
+    cluster.controllers[owner].components.leadership.hand_off(shard_id, other)
     cluster.run_until(lambda: cluster.owner() == other, 10.0)
     cluster.command_loss_hosts.clear()
     cluster.heartbeat_loss_hosts.clear()
@@ -288,7 +288,7 @@
 
 
 def service(cluster: SimulatedCluster, label: str) -> DutiesService:
-    found = cluster.controllers[label].parts.extensions.find(DutiesService)
+    found = cluster.controllers[label].components.extensions.find(DutiesService)
     assert found is not None
     return found
 
--- a/tests/test_fault_tolerance.py
+++ b/tests/test_fault_tolerance.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fallpulley.effects import PeerMessage, Request
-from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard
+from fallpulley.shared_records.shard_record import MachineEntry, ShardRecord, decode_shard
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster
 from tests.test_jobs_and_takeovers import (
     busy_cluster,
@@ -64,14 +64,14 @@
     cluster = ready_cluster()
     uid = submit_job(cluster, 1)
     owner = cluster.controllers[cluster.owner()]
-    real = owner.parts.jobs.on_record
+    real = owner.components.jobs.on_record
 
     def failing(job: str, value: bytes | None, stamp: int) -> object:
         if job == "job-000002":
             raise RuntimeError("made to fail")
         return real(job, value, stamp)
 
-    owner.parts.jobs.on_record = failing  # type: ignore[method-assign,assignment]
+    owner.components.jobs.on_record = failing  # type: ignore[method-assign,assignment]
     submit_job(cluster, 2, other_controllers(cluster.owner())[0])
     third = submit_job(cluster, 3, other_controllers(cluster.owner())[0])
     cluster.run_until(lambda: cluster.job_state(uid) == cluster.job_state(third) == "done", 60.0)
@@ -144,7 +144,7 @@
     uids = [submit_job(cluster, n, pieces=4) for n in range(3)]
     cluster.run_until(lambda: all(cluster.job_state(uid) == "done" for uid in uids), 90.0)
     assert {host for _, _, host in cluster.task_starts} == {good}
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     missed = shard.attempt_numbers.issued - len(cluster.task_starts)
     assert missed <= 2  # one reply's worth of orders, never another
     for n in range(10, 30):
@@ -179,7 +179,7 @@
     cluster.crash(old)
     cluster.run_until(lambda: cluster.owner() != old, 10.0)
     cluster.run(0.5)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     assert deaf in shard.unreconciled
     # It comes back to the holder every few seconds, much sooner than its lease is over.
     worker = cluster.workers[deaf]
@@ -216,7 +216,7 @@
     for _ in range(12):
         cluster.run(1.0)
         assert replay_heartbeat(cluster, cluster.owner(), running) == [503]
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     # Its lease was over in spite of the copies, and its tasks have room elsewhere.
     assert dead not in shard.machines or not shard.machines[dead].heartbeat.online
     cluster.run_until(lambda: cluster.job_state(uid) == "done", 90.0)
@@ -239,12 +239,12 @@
     cluster.crash(old)
     cluster.run_until(lambda: cluster.owner() != old, 10.0)
     cluster.run(0.5)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     for host, body in copies.items():
         replay_heartbeat(cluster, cluster.owner(), body)
         machine = shard.machines[host]
         assert (
-            not machine.fencing.fenced
+            not machine.fencing.token_confirmed
             and not machine.heartbeat.online
             and host in shard.unreconciled
         )
@@ -275,7 +275,7 @@
 def test_a_late_beat_makes_no_controller_think_that_it_was_left_behind() -> None:
     cluster = ready_cluster()
     mine, peer = CONTROLLER_LABELS[0], CONTROLLER_LABELS[1]
-    taken = cluster.controllers[mine].parts.peers
+    taken = cluster.controllers[mine].components.peers
     body: list[bytes] = []
     real = taken.receive
     taken.receive = lambda data: (body.append(data), real(data))[1]  # type: ignore[method-assign]
@@ -390,18 +390,18 @@
     cluster, _ = busy_cluster(8, 60.0)
     controller = cluster.controllers[cluster.owner()]
     ticks = iter(range(10**6))
-    controller.parts.context.clock = lambda: next(ticks) * took_s
-    (shard,) = controller.parts.owned.shards.values()
+    controller.components.context.clock = lambda: next(ticks) * took_s
+    (shard,) = controller.components.owned_shards.shards.values()
     planned = -1.0
     for _ in range(40):
         shard.needs_replan = True
-        before = controller.parts.planner.next_plan_at
+        before = controller.components.planner.next_plan_at
         cluster.step()
-        if controller.parts.planner.next_plan_at != before:
+        if controller.components.planner.next_plan_at != before:
             planned = cluster.now
             break
     assert planned > 0
-    assert least_s <= controller.parts.planner.next_plan_at - planned <= most_s
+    assert least_s <= controller.components.planner.next_plan_at - planned <= most_s
 
 
 def test_the_last_controller_takes_over_a_fleet_half_as_large_again() -> None:
@@ -420,7 +420,7 @@
     (last,) = cluster.controllers
     cluster.run_until(lambda: cluster.owner() == last, 10.0)
     cluster.run(10.0)
-    shards = cluster.controllers[last].parts.owned.shards.values()
+    shards = cluster.controllers[last].components.owned_shards.shards.values()
     assert sum(len(list(shard.runs())) for shard in shards) == 1880
     assert len(cluster.task_starts) == 1880
     assert {worker.agent_epoch for worker in cluster.workers.values()} == {1}
@@ -442,7 +442,7 @@
     begun = cluster.now
     cluster.run_until(lambda: cluster.owner() != old, 10.0)
     cluster.run(0.5)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     cluster.run_until(lambda: not shard.unreconciled, 8.0)
     assert cluster.now - begun < 2.0 + 0.25 * 8.0 + 4.0
     assert set(dead) <= set(cluster.released_hosts)
@@ -453,12 +453,12 @@
     """Hundreds of machines report every few seconds; work follows what changed."""
     cluster, uid = busy_cluster(4, 60.0, expect_s=60.0)
     cluster.run(3.0)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
-    pictures = {host: machine.snapshot for host, machine in shard.machines.items()}
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
+    pictures = {host: machine.placement_snapshot for host, machine in shard.machines.items()}
     ticks = {host: machine.heartbeat.sequence for host, machine in shard.machines.items()}
     token = shard.fencing_token
     cluster.run(3.0)
     assert len(cluster.running_tasks(uid)) == 4 and shard.fencing_token == token
     for host, machine in shard.machines.items():
         assert machine.heartbeat.sequence >= ticks[host] + 2  # it went on reporting
-        assert machine.snapshot is pictures[host] is not None
+        assert machine.placement_snapshot is pictures[host] is not None
--- a/tests/test_operation_counts.py
+++ b/tests/test_operation_counts.py
@@ -5,10 +5,10 @@
 import pytest
 
 from fallpulley.balancing.balancer import ShardBalancer
-from fallpulley.records.shard_record import MachineEntry
 from fallpulley.scheduling.snapshot_builder import machine_snapshots
 from fallpulley.shards.occupancy import OccupancyFlags
 from fallpulley.shards.shard import Shard
+from fallpulley.shared_records.shard_record import MachineEntry
 from fallpulley.workers.machine import Machine
 from tests.test_jobs_and_takeovers import busy_cluster
 
@@ -19,7 +19,7 @@
     cluster, uid = busy_cluster(task_count=4, seconds=60.0, expect_s=60.0)
     cluster.run(5.0)
     looks = ticks = 0
-    mark, tick = OccupancyFlags.update_all, ShardBalancer.hand_off_if_unreached
+    mark, tick = OccupancyFlags.update_all, ShardBalancer.hand_off_if_unreachable
 
     def counted_mark(self: OccupancyFlags, shard: object) -> None:
         nonlocal looks
@@ -32,7 +32,7 @@
         tick(self, shard)  # type: ignore[arg-type]
 
     monkeypatch.setattr(OccupancyFlags, "update_all", counted_mark)
-    monkeypatch.setattr(ShardBalancer, "hand_off_if_unreached", counted_tick)
+    monkeypatch.setattr(ShardBalancer, "hand_off_if_unreachable", counted_tick)
     cluster.run(10.0)
     assert len(cluster.running_tasks(uid)) == 4
     assert ticks > 30 and looks <= ticks / 5
@@ -43,15 +43,15 @@
 ) -> None:
     cluster, uid = busy_cluster(task_count=4, seconds=60.0, expect_s=60.0)
     controller = cluster.controllers[cluster.owner()]
-    (shard,) = controller.parts.owned.shards.values()
+    (shard,) = controller.components.owned_shards.shards.values()
     asked: list[str] = []
     estimate = shard.estimate_run_s
     monkeypatch.setattr(
         Shard, "estimate_run_s", lambda self, job: asked.append(job.job_id) or estimate(job)
     )
     for machine in shard.machines.values():
-        machine.snapshot = None
-    slots = machine_snapshots(shard, controller.parts.registry.machine_types, cluster.now)
+        machine.placement_snapshot = None
+    slots = machine_snapshots(shard, controller.components.registry.machine_types, cluster.now)
     assert sum(len(slot.running) for slot in slots) == 4
     assert asked == [uid]
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -155,7 +155,7 @@
     end = cluster.now
     cluster.crash(cluster.owner())
     cluster.run(8.0)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     if last in shard.jobs:
         assert abs(shard.jobs[last].ready_since_ms / 1000 - 1e6 - end) < 1.0
     else:
@@ -172,7 +172,7 @@
     middle = submit_job(cluster, 3, awaits=[first], rank="best_effort", expect_s=7.0)
     submit_job(cluster, 4, awaits=[middle], rank="high", expect_s=5.0)
     cluster.run(1.0)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     assert shard.jobs[first].priority_level == shard.jobs[middle].priority_level == 2
     assert shard.jobs[first].critical_path_s == pytest.approx(7.0 + 5.0 + 2 * 0.5)
     cluster.run_until(lambda: task_start_count(cluster, first) > 0, 30.0)
@@ -243,7 +243,7 @@
 def test_jobs_without_pipelines_cost_nothing_of_them() -> None:
     cluster = pipeline_cluster()
     submit_job(cluster, 1)
-    jobs = cluster.controllers["node-0"].parts.jobs
+    jobs = cluster.controllers["node-0"].components.jobs
     assert not jobs.pipelines.nodes and not jobs.pipelines.dependents
     assert "awaits" not in json.dumps(cluster.state.entries["live/job/job-000001"][0])
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,11 +8,11 @@
 
 from fallpulley.effects import RESPONSE_TOO_LONG, Response
 from fallpulley.mesh.task_counts import TaskCountRotation
-from fallpulley.records.release_records import release_changes, select_releasable
 from fallpulley.shard_sizes import machines_per_shard
 from fallpulley.shards.attempt_numbers import AttemptNumbers
 from fallpulley.shards.fencing_prober import FencingProber
 from fallpulley.shards.lease_watch import LeaseWatch
+from fallpulley.shared_records.release_records import release_changes, select_releasable
 from fallpulley.wire.server import ServerLimits
 from tests.simulated_cluster import (
     CONTROLLER_LABELS,
@@ -70,7 +70,7 @@
     shards = [
         h
         for controller in cluster.controllers.values()
-        for h in controller.parts.owned.shards.values()
+        for h in controller.components.owned_shards.shards.values()
     ]
     return bool(shards) and all(
         not shard.unreconciled and shard.progress_loaded for shard in shards
@@ -98,7 +98,7 @@
     assert changed.count(key) == 1 and not any("live/machines/" in name for name in changed)
     cluster.run_until(lambda: all_machines_confirmed(cluster), 2.5 * REPORT_S)
     assert len(cluster.running_tasks()) == len(cluster.task_starts) == 2 * MACHINES
-    (shard,) = cluster.controllers[cluster.owner()].parts.owned.shards.values()
+    (shard,) = cluster.controllers[cluster.owner()].components.owned_shards.shards.values()
     assert sum(1 for _ in shard.runs()) == 2 * MACHINES
 
 
@@ -133,7 +133,7 @@
     while cluster.now < until:
         cluster.step()
         for controller in cluster.controllers.values():
-            for shard in controller.parts.owned.shards.values():
+            for shard in controller.components.owned_shards.shards.values():
                 asked |= {h for h, m in shard.machines.items() if m.fencing.next_probe_at > 0}
                 whole_turn = whole_turn or set(lost) <= asked
     assert whole_turn
@@ -153,7 +153,8 @@
     cluster.start_controller("node-2")
     cluster.run_until(lambda: "live/format" in cluster.state.entries, 20.0)
     cluster.run_until(
-        lambda: all(c.parts.context.record_format.paged for c in cluster.controllers.values()), 5.0
+        lambda: all(c.components.context.record_format.paged for c in cluster.controllers.values()),
+        5.0,
     )
     cluster.run(10.0)
     cluster.state.value_bytes, cluster.state.txn_ops = 2048, 4
@@ -174,10 +175,12 @@
         cluster.add_machine("a", spot=True)
     for worker in cluster.workers.values():
         worker.hung = True
-    leader = next(c for c in cluster.controllers.values() if c.parts.leadership.term is not None)
-    cluster.run_until(lambda: len(leader.parts.provider.listed_machines) == MACHINES, 90.0)
+    leader = next(
+        c for c in cluster.controllers.values() if c.components.leadership.term is not None
+    )
+    cluster.run_until(lambda: len(leader.components.provider.listed_machines) == MACHINES, 90.0)
     assert cluster.machine_list_requests >= MACHINES // 500
-    cluster.run_until(lambda: len(leader.parts.registry.shard_of_machine) == MACHINES, 30.0)
+    cluster.run_until(lambda: len(leader.components.registry.shard_of_machine) == MACHINES, 30.0)
 
 
 # -- parts by themselves ---------------------------------------------------------------------
@@ -229,21 +232,24 @@
     cluster = SimulatedCluster(2)
     cluster.run(3.0)
     controller = cluster.controllers["node-1"]
-    assert controller.parts.watch.ready
+    assert controller.components.watch.ready
     (call,) = [c for c in pending_watches(cluster, "node-1")][:1]
     call.on_response(Response(RESPONSE_TOO_LONG, b"", cluster.now))
-    assert not controller.parts.watch.loaded
-    cluster.run_until(lambda: controller.parts.watch.ready, 5.0)
-    assert controller.parts.watch.revision == cluster.state.revision
+    assert not controller.components.watch.loaded
+    cluster.run_until(lambda: controller.components.watch.ready, 5.0)
+    assert controller.components.watch.revision == cluster.state.revision
 
 
 def pending_watches(cluster: SimulatedCluster, label: str) -> list[Any]:
     """A look at the changes that this controller is about to send."""
     controller = cluster.controllers[label]
-    controller.parts.watch._watching = False
-    controller.parts.watch._start_watch(cluster.now)
-    controller.parts.context.state_client.send_queued(cluster.now)
-    effects, controller.parts.context.outbox[:] = list(controller.parts.context.outbox), []
+    controller.components.watch._watching = False
+    controller.components.watch._start_watch(cluster.now)
+    controller.components.context.state_client.send_queued(cluster.now)
+    effects, controller.components.context.outbox[:] = (
+        list(controller.components.context.outbox),
+        [],
+    )
     return [e for e in effects if getattr(e, "address", "") == STATE_ADDRESS]
 
 
@@ -254,9 +260,14 @@
 
 def test_fences_take_their_part_of_the_sockets() -> None:
     cluster = large_cluster()
-    cluster.run_until(lambda: bool(cluster.controllers[cluster.owner()].parts.owned.shards), 5.0)
-    (agent,) = cluster.controllers[cluster.owner()].parts.owned.agents.values()
-    assert isinstance(agent.fencing, FencingProber) and agent.fencing.max_in_flight == 240
+    cluster.run_until(
+        lambda: bool(cluster.controllers[cluster.owner()].components.owned_shards.shards), 5.0
+    )
+    (agent,) = cluster.controllers[cluster.owner()].components.owned_shards.agents.values()
+    assert (
+        isinstance(agent.fencing_prober, FencingProber)
+        and agent.fencing_prober.max_in_flight == 240
+    )
 
 
 def test_blocks_are_shared_out_many_machines_at_a_time() -> None:
@@ -266,7 +277,7 @@
     cluster.capacity = 400
 
     def sizes() -> list[int]:
-        registry = next(iter(cluster.controllers.values())).parts.registry
+        registry = next(iter(cluster.controllers.values())).components.registry
         return sorted(len(record.machines) for record, _ in registry.shards.values())
 
     cluster.run_until(lambda: len(sizes()) == 2 and sum(sizes()) == 400, 20.0)
@@ -277,7 +288,7 @@
 def test_machines_with_the_longest_names_are_released_within_the_smallest_values() -> None:
     cluster = SimulatedCluster(2, state=STATE_FACTS | {"next": SMALLEST})
     cluster.run(5.0)
-    record_format = cluster.controllers[cluster.owner()].parts.context.record_format
+    record_format = cluster.controllers[cluster.owner()].components.context.record_format
     hosts = {f"{number:0190}" for number in range(100)}
     out = select_releasable(hosts, record_format)
     (change,) = release_changes(out, record_format)
--- a/tests/test_settings_and_limits.py
+++ b/tests/test_settings_and_limits.py
@@ -13,12 +13,12 @@
 from fallpulley.cloud.offer import Offer
 from fallpulley.effects import HttpCall, Response
 from fallpulley.fleet.sizing import DemandGroup, SupplyUnit, size_fleet
-from fallpulley.jobs.completion import chunk_tasks
+from fallpulley.jobs.completion import chunk_capacity
 from fallpulley.jobs.messages import JobRecord, parse_submission
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.settings import SettingsError, load
 from fallpulley.shard_sizes import (
-    change_share,
+    change_budget_share,
     machines_per_shard,
     shards_needed,
     target_sizes,
@@ -26,7 +26,7 @@
 from fallpulley.state.client import StateClient
 from fallpulley.state.token_bucket import TokenBucket
 from fallpulley.state.transactions import Change, RequestPriority, Write
-from fallpulley.wire.limit import AdaptiveLimit
+from fallpulley.wire.adaptive_limit import AdaptiveLimit
 from fallpulley.workers.machine import TaskRun
 from tests.simulated_cluster import controller_settings, job_spec
 
@@ -147,13 +147,15 @@
             {f"k{n}": 0},
             [Change(f"k{n}", b"1")],
             lambda s, _: outcomes.append(s),
-            RequestPriority.PROGRESS,
+            RequestPriority.BACKGROUND,
         )
         state.write(write)
     state.send_queued(0.0)
     at, changes = 0.0, sum(call.body.count(b'"set"') for call in sent if call.body)
     assert changes <= 5
-    state.write(Write({"a": 0}, [Change("a", b"1")], lambda s, _: None, RequestPriority.ACCEPT))
+    state.write(
+        Write({"a": 0}, [Change("a", b"1")], lambda s, _: None, RequestPriority.INTERACTIVE)
+    )
     sent.clear()
     while at < 2.0:
         at += 0.1
@@ -164,15 +166,15 @@
 
 def test_parts_of_the_write_budget_add_up_and_a_lower_limit_is_shared_alike() -> None:
     for owners in (set(), {"a"}, {"a", "c"}, {"a", "b", "c"}):
-        parts = {label: change_share(label, owners, 3) for label in "abc"}
+        parts = {label: change_budget_share(label, owners, 3) for label in "abc"}
         assert sum(parts.values()) == pytest.approx(3.0)
         assert all(parts[label] == max(parts.values()) for label in owners)
     bucket = TokenBucket(9.0)
-    bucket.set_share(change_share("a", {"a"}, 3))
+    bucket.set_rate_factor(change_budget_share("a", {"a"}, 3))
     assert bucket.rate == pytest.approx(18.0) and bucket.tokens <= 9.0
     bucket.lower_rate(6.0)
     assert bucket.rate == pytest.approx(12.0)
-    bucket.set_share(change_share("a", {"b"}, 3))
+    bucket.set_rate_factor(change_budget_share("a", {"b"}, 3))
     assert bucket.rate == pytest.approx(3.0) and bucket.tokens <= 3.0
 
 
@@ -205,7 +207,7 @@
 
 
 def test_a_job_of_100000_tasks_keeps_its_completion_in_small_values() -> None:
-    tasks = chunk_tasks(16.0)
+    tasks = chunk_capacity(16.0)
     big = make_open_job(100_000)
     for index in range(0, 100_000, 3):
         big.progress.record_completion(index, 0.0)
@@ -288,12 +290,12 @@
     run = TaskRun(again.job_id, 0, 1, "vm-1", 0.0, 1.0, again.resources)
     for _ in range(3):
         again.runs[0] = again.runs[1] = run
-        assert again.next_tasks(10) == [2, 3]
+        assert again.next_pending_tasks(10) == [2, 3]
         del again.runs[0], again.runs[1]
         again.requeue(0)
         again.requeue(1)
-        assert sorted(again.next_tasks(10)) == [0, 1, 2, 3]
+        assert sorted(again.next_pending_tasks(10)) == [0, 1, 2, 3]
     again.runs[3] = run
     del again.runs[3]
     again.requeue(3)
-    assert sorted(again.next_tasks(10)) == [0, 1, 2, 3]
+    assert sorted(again.next_pending_tasks(10)) == [0, 1, 2, 3]
--- a/tests/test_shard_record_pages.py
+++ b/tests/test_shard_record_pages.py
@@ -10,17 +10,22 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from fallpulley.records.keys import page_key
-from fallpulley.records.layout import (
+from fallpulley.shared_records.keys import page_key
+from fallpulley.shared_records.layout import (
     MAX_MERGED_MACHINES,
     MAX_PAGE_MACHINES,
     MAX_SINGLE_VALUE_MACHINES,
 )
-from fallpulley.records.machine_encoding import EntryCache
-from fallpulley.records.record_update import update_record
-from fallpulley.records.registry import Registry
-from fallpulley.records.shard_change import RecordLimits, RecordUpdate, ShardChange
-from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard, encode_page
+from fallpulley.shared_records.machine_encoding import EntryCache
+from fallpulley.shared_records.record_update import update_record
+from fallpulley.shared_records.registry import Registry
+from fallpulley.shared_records.shard_change import RecordLimits, RecordUpdate, ShardChange
+from fallpulley.shared_records.shard_record import (
+    MachineEntry,
+    ShardRecord,
+    decode_shard,
+    encode_page,
+)
 
 SMALL = RecordLimits(True, True, 1945, 4)  # values of 2 KiB, the smallest transactions
 
@@ -99,7 +104,7 @@
     stored = Stored(SMALL)
     stored.add_all(machines)
     assert stored.record.machines == machines
-    assert stored.largest <= SMALL.value_bytes
+    assert stored.largest <= SMALL.max_value_bytes
     # The flag of one machine writes the record and one page, whatever the fleet's size.
     writes = stored.writes
     machine_id = next(iter(machines))
@@ -107,9 +112,9 @@
     assert stored.writes - writes <= 3 and stored.record.machines[machine_id].occupied
     # A failover writes the record alone.
     changed = msgspec.structs.replace(stored.record, owner="node-1", incarnation="other")
-    value = changed.encode(True, SMALL.value_bytes)
+    value = changed.encode(True, SMALL.max_value_bytes)
     stored.revision += 1
-    assert len(value) <= SMALL.value_bytes
+    assert len(value) <= SMALL.max_value_bytes
     assert stored.registry.on_key_changed("live/block/b", value, stored.revision) == "b"
     assert stored.record.owner == "node-1" and len(stored.record.machines) == count
 
@@ -171,7 +176,7 @@
         for machine_id in update.removed:
             del expected[machine_id]
         assert set(stored.record.machines) == set(expected)
-        assert stored.largest <= limits.value_bytes
+        assert stored.largest <= limits.max_value_bytes
         for machine_id, entry in stored.record.machines.items():
             assert (entry.machine_type, entry.zone, entry.spot) == (
                 expected[machine_id].machine_type,
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -41,7 +41,7 @@
     unpack,
 )
 from fallpulley.standby.replica import GapError, MachineCopy, Replica, Snapshot, apply_entries
-from fallpulley.standby.service import Standby
+from fallpulley.standby.service import StandbyService
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster
 from tests.test_jobs_and_takeovers import other_controllers, ready_cluster, submit_job
 from tests.test_settings_and_limits import VALID_SETTINGS
@@ -53,8 +53,8 @@
 REPORT_TIMEOUT_S = 4.0 + 1.0
 
 
-def standby_of(controller: Controller) -> Standby:
-    standby = controller.parts.extensions.find(Standby)
+def standby_of(controller: Controller) -> StandbyService:
+    standby = controller.components.extensions.find(StandbyService)
     assert standby is not None
     return standby
 
@@ -276,7 +276,7 @@
     cluster.run_until(lambda: len(cluster.running_tasks(long)) == 5, 20.0)
     cluster.run(1.5)
     old = owner_controller(cluster)
-    shard = next(iter(old.parts.owned.shards.values()))
+    shard = next(iter(old.components.owned_shards.shards.values()))
     runs = {run.task_id: run.attempt for run in shard.runs()}
     for label in other_controllers(cluster.owner()):
         replica = replica_of(cluster, label)
@@ -284,7 +284,7 @@
     cluster.crash(cluster.owner())
     cluster.run_until(lambda: cluster.owner() in cluster.controllers, 10.0)
     cluster.run(0.3)
-    new = next(iter(owner_controller(cluster).parts.owned.shards.values()))
+    new = next(iter(owner_controller(cluster).components.owned_shards.shards.values()))
     assert new.corrections.factor("work") == pytest.approx(shard.corrections.factor("work"), 1e-3)
     assert new.corrections.factor("work") > 1.0
     assert all("other" in new.machines[run.machine_id].images.cached for run in shard.runs())
@@ -309,8 +309,8 @@
         cluster.crash(old)
     cluster.run_until(lambda: cluster.owner() != old, FIVE_S)
     held_at = cluster.now
-    cluster.run_until(lambda: bool(owner_controller(cluster).parts.owned.shards), 1.0)
-    new = next(iter(owner_controller(cluster).parts.owned.shards.values()))
+    cluster.run_until(lambda: bool(owner_controller(cluster).components.owned_shards.shards), 1.0)
+    new = next(iter(owner_controller(cluster).components.owned_shards.shards.values()))
     cluster.run_until(lambda: not new.unreconciled, FIVE_S - (held_at - silent_at))
     cluster.run_until(lambda: any(at > held_at for at, _, _ in cluster.task_starts[before:]), 10.0)
     assert cluster.now - silent_at < FIVE_S + (REPORT_TIMEOUT_S - 2.0 if frozen else 0.0)
@@ -342,7 +342,8 @@
     cluster.paused_controllers.discard(old)
     cluster.run(3.0)
     assert (
-        "owner replaced shard=" in caplog.text and not cluster.controllers[old].parts.owned.shards
+        "owner replaced shard=" in caplog.text
+        and not cluster.controllers[old].components.owned_shards.shards
     )
     followed = next(iter(standby_of(cluster.controllers[third]).follower.shards.values()))
     assert followed.owner == cluster.owner() and followed.replica is not None
@@ -547,7 +548,7 @@
         if victim not in cluster.controllers:
             cluster.start_controller(victim)
         cluster.run_until(
-            lambda: any(c.parts.session.is_live() for c in cluster.controllers.values()), 20.0
+            lambda: any(c.components.session.is_live() for c in cluster.controllers.values()), 20.0
         )
         cluster.run(2.0)
     cluster.peer_message_delays = lambda one, other, body: [0.0]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,16 +14,16 @@
 import pytest
 
 from fallpulley.jobs.completion import (
+    chunk_capacity,
     chunk_name,
-    chunk_tasks,
     is_chunk_name,
     parse_chunk_name,
 )
 from fallpulley.jobs.messages import JobRecord
 from fallpulley.jobs.open_job import OpenJob
 from fallpulley.mesh import messages as mesh
-from fallpulley.records.messages import Session
-from fallpulley.records.shard_record import MachineEntry, ShardRecord, decode_shard
+from fallpulley.shared_records.messages import Session
+from fallpulley.shared_records.shard_record import MachineEntry, ShardRecord, decode_shard
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster, job_spec
 from tests.test_fault_tolerance import task_start_count
 from tests.test_jobs_and_takeovers import other_controllers, submit_job
@@ -244,7 +244,7 @@
 
 
 def test_progress_values_tell_the_size_that_they_were_split_with() -> None:
-    older, newer = chunk_tasks(16.0), chunk_tasks(2.0)
+    older, newer = chunk_capacity(16.0), chunk_capacity(2.0)
     assert older != newer
     done = make_open_job(100_000)
     for index in range(0, 100_000, 7):
@@ -270,7 +270,7 @@
     cluster = mixed_version_cluster([])
     uid = submit_job(cluster, 1, pieces=4)
     cluster.run_until(lambda: len(cluster.running_tasks(uid)) == 4, 20.0)
-    shard = next(iter(cluster.controllers[cluster.owner()].parts.owned.shards.values()))
+    shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     for number in range(9):
-        shard.jobs[uid].progress.revisions[f"{number}@64"] = 0
+        shard.jobs[uid].progress.mod_revisions[f"{number}@64"] = 0
     cluster.run_until(lambda: cluster.job_state(uid) == "done", 30.0)
--- a/tests/test_wire_goldens.py
+++ b/tests/test_wire_goldens.py
@@ -20,7 +20,7 @@
 - `effects`: all, between the core and the network of one process.
 - `jobs`: `pipelines.Node`, `Outlook`, `Changes`, `service.Known`.
 - `placement`: all, in `plan`, `preempt` and `queue`.
-- `records`: `shard_change.RecordLimits`, `ShardChange`, `RecordUpdate`. `ShardRecord`,
+- `shared_records`: `shard_change.RecordLimits`, `ShardChange`, `RecordUpdate`. `ShardRecord`,
   `ShardHeader`, `MachinePage` and `MachineEntry` are what shard records are read into;
   `_StoredShard`, `_StoredPage`, `_Group`, `_Run` and `_RunGroup` are what stands in the bytes, and
   have goldens too.
@@ -56,9 +56,9 @@
 from fallpulley.jobs import stored_progress
 from fallpulley.membership.session import SessionLease
 from fallpulley.mesh import messages as mesh
-from fallpulley.records import machine_encoding as packing
-from fallpulley.records import messages as records
-from fallpulley.records import shard_record
+from fallpulley.shared_records import machine_encoding as packing
+from fallpulley.shared_records import messages as records
+from fallpulley.shared_records import shard_record
 from fallpulley.shares import messages as shares
 from fallpulley.standby import entries, replica
 from fallpulley.standby import messages as standby
@@ -185,9 +185,9 @@
             raise settings.SettingsError(str(error).replace(f"{directory}/", "")) from None
 
 
-def load_operators(body: bytes) -> settings.Operators:
+def load_operators(body: bytes) -> settings.OperatorSettings:
     """The operators' settings alone, without those of the deployed copy."""
-    return msgspec.convert(tomllib.loads(body.decode()), settings.Operators)
+    return msgspec.convert(tomllib.loads(body.decode()), settings.OperatorSettings)
 
 
 decode_entry = msgspec.json.Decoder(entries.Entry).decode
@@ -199,7 +199,7 @@
     "submission": Kind(jobs.Submission, jobs.parse_submission, None),
     "job named by a submission": Kind(str, jobs.decode_job_id, None),
     "stage": read_and_written(jobs.JobStatus),
-    # Workers.
+    # WorkerSettings.
     "report": Kind(workers.Heartbeat, workers.parse_heartbeat, None),
     "orders": read_and_written(workers.HeartbeatResponse),
     "direct": read_and_written(workers.DirectCommand),
@@ -274,7 +274,7 @@
     "shares error": read_and_written(shares.ErrorResponse),
     # Settings.
     "settings": Kind(settings.Settings, load_settings, None),
-    "operators": Kind(settings.Operators, load_operators, None),
+    "operators": Kind(settings.OperatorSettings, load_operators, None),
 }
 
 # What decoders raise for malformed bytes.
