--- a/tests/loopback/__init__.py
+++ b/tests/loopback/__init__.py
@@ -1,1 +1,1 @@
-"""Real controllers on loopback against stand-ins for state service, cloud and workers."""
+"""Real controllers on loopback with a simulated state service, cloud and workers."""
--- a/tests/loopback/deployment.py
+++ b/tests/loopback/deployment.py
@@ -1,4 +1,4 @@
-"""Three real controller processes against the stand-ins, to be killed, paused and resumed."""
+"""Three real controller processes beside simulated services, to be killed, paused and resumed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.simulated_cluster import CONTROLLER_LABELS
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-NODE = """
+SETTINGS_TEMPLATE = """
 label = "{label}"
 site = "a"
 serve_on = "{serve}"
@@ -49,24 +49,24 @@
 [facts.machine_limits]
 sockets = {sockets}
 """
-SEED = '[[seeds]]\nlabel = "{label}"\nsite = "a"\naddress = "{mesh}"\n'
+SEED_TEMPLATE = '[[seeds]]\nlabel = "{label}"\nsite = "a"\naddress = "{mesh}"\n'
 
 
 def free_port() -> int:
-    """A port that nobody listens on, nor on the next one."""
+    """Return a port P of 127.0.0.1 such that P and P + 1 are both free."""
     while True:
-        with socket.socket() as one, socket.socket() as next_one:
-            one.bind(("127.0.0.1", 0))
-            port = int(one.getsockname()[1])
+        with socket.socket() as first, socket.socket() as second:
+            first.bind(("127.0.0.1", 0))
+            port = int(first.getsockname()[1])
             try:
-                next_one.bind(("127.0.0.1", port + 1))
+                second.bind(("127.0.0.1", port + 1))
             except (OSError, OverflowError):
                 continue
             return port
 
 
 class Deployment:
-    """The processes, by label."""
+    """Three controller processes by label, and the simulated services that they use."""
 
     def __init__(
         self,
@@ -93,8 +93,10 @@
     def _write(self, label: str, lease_s: float, operators: str) -> None:
         home = self.folder / label
         home.mkdir()
-        seeds = [SEED.format(label=other, mesh=self.mesh[other]) for other in CONTROLLER_LABELS]
-        text = NODE.format(
+        seeds = [
+            SEED_TEMPLATE.format(label=other, mesh=self.mesh[other]) for other in CONTROLLER_LABELS
+        ]
+        text = SETTINGS_TEMPLATE.format(
             label=label,
             serve=self.serve[label],
             mesh=self.mesh[label],
@@ -125,7 +127,7 @@
         return self.folder / f"{label}.log"
 
     def kill(self, label: str) -> None:
-        """End a controller with no signal to itself."""
+        """Kill a controller, which gets no chance to clean up."""
         process = self.processes.pop(label)
         process.kill()
         process.wait()
@@ -142,12 +144,16 @@
             self.kill(label)
 
     def owner(self) -> str | None:
-        """Who holds the first block, by the state service."""
+        """Return the owner of the first shard by its record, or None without any record."""
         records = self.cluster.shards()
         return str(records[min(records)]["holder"]) if records else None
 
     async def wait_until(self, met: Callable[[], bool], within_s: float, what: str) -> None:
-        """Wait for something; a failure of the world's rules ends the wait."""
+        """Wait for a condition, for at most `within_s` seconds.
+
+        Raises:
+            AssertionError: The time has passed, or the simulated services recorded a violation.
+        """
         until = self.cluster.now + within_s
         while not met():
             assert not self.cluster.violations, self.cluster.violations
@@ -164,7 +170,7 @@
     report_s: float = 1.0,
     sockets: int = 2000,
 ) -> AsyncIterator[Deployment]:
-    """A deployment whose controllers are up and whose machines report."""
+    """Run a deployment; yield it once all of its machines have a fencing token."""
     deployment = Deployment(folder, machines, lease_s, operators, report_s, sockets)
     async with anyio.create_task_group() as tasks:
         await deployment.cluster.serve(tasks)
@@ -172,7 +178,9 @@
             for label in CONTROLLER_LABELS:
                 deployment.start(label)
             cluster = deployment.cluster
-            await deployment.wait_until(lambda: bool(cluster.shards()), 30.0, "a block is held")
+            await deployment.wait_until(
+                lambda: bool(cluster.shards()), 30.0, "a shard has an owner"
+            )
             await deployment.wait_until(
                 lambda: all(worker.fencing_token > 0 for worker in cluster.workers.values()),
                 60.0 + 10.0 * report_s,
--- a/tests/loopback/measure_duties.py
+++ b/tests/loopback/measure_duties.py
@@ -1,10 +1,11 @@
-"""What duties cost a rental, and how long none is made when their holder ends.
+"""Measures how duties delay rentals, also when their owner fails.
 
     python3 -m tests.loopback.measure_duties --rounds 20 --duties on --mode killed
 
-Real processes on this machine against the stand-ins. In each round a job needs machines that are
-not there; in every other one the leader is killed or paused as soon as the job is accepted. With
-duties on, the stand-ins' histories are compared: every action was recorded before it went out.
+Real processes on this machine, beside simulated services. In each round a job needs machines that
+have to be rented; in every other round the leader is killed or paused as soon as the job is
+accepted. With duties on, the services' histories are compared: every action was recorded before it
+was sent.
 """
 
 from __future__ import annotations
@@ -21,22 +22,22 @@
 from tests.test_duties import check_cloud_actions
 
 MACHINES = 10
-SETTLE_S = 3.0
+SETTLE_S = 3.0  # pause before each round
 
 
 class Rounds:
-    """One round after the other, with and without the leader's end."""
+    """Runs rounds with and without a failure of the leader, and records the delays."""
 
     def __init__(self, deployment: Deployment, mode: str) -> None:
         self.deployment = deployment
         self.cluster = deployment.cluster
         self.mode = mode
         self.number = 0
-        self.rented = {False: histogram(), True: histogram()}
-        self.returned = {False: histogram(), True: histogram()}
+        self.rental_delays = {False: histogram(), True: histogram()}
+        self.release_delays = {False: histogram(), True: histogram()}
 
-    async def one(self, disturbed: bool) -> None:
-        """Machines rented for a job, its tasks done, the machines returned."""
+    async def run_round(self, disturbed: bool) -> None:
+        """Submit a job; wait until machines are rented, the job is done and they are released."""
         cluster = self.cluster
         self.number += 1
         spec = job_spec(self.number, pieces=MACHINES, cpus=8.0, expect_s=2.0, size_gb=0.1)
@@ -44,22 +45,24 @@
         actions = len(cluster.cloud_actions)
         assert await cluster.submit(spec, 60.0)
         began = cluster.now
-        ended = self._end() if disturbed else None
+        failed = self._fail_leader() if disturbed else None
         await self.deployment.wait_until(
             lambda: len(cluster.cloud_actions) > actions, 60.0, "a rental"
         )
-        self.rented[disturbed].record_value(max(1, round((cluster.now - began) * 1000)))
+        self.rental_delays[disturbed].record_value(max(1, round((cluster.now - began) * 1000)))
         await self.deployment.wait_until(
             lambda: bool(cluster.job_state(spec["uid"]) == "done"), 120.0, "the job is done"
         )
         began = cluster.now
-        await self.deployment.wait_until(lambda: not cluster.workers, 120.0, "all are returned")
-        self.returned[disturbed].record_value(max(1, round((cluster.now - began) * 1000)))
-        if ended is not None:
-            await self._back(ended)
+        await self.deployment.wait_until(
+            lambda: not cluster.workers, 120.0, "all machines are released"
+        )
+        self.release_delays[disturbed].record_value(max(1, round((cluster.now - began) * 1000)))
+        if failed is not None:
+            await self._restore(failed)
         await anyio.sleep(SETTLE_S)
 
-    def _end(self) -> str:
+    def _fail_leader(self) -> str:
         leader = str(self.cluster.state.entries["live/leader"][0]["label"])
         if self.mode == "killed":
             self.deployment.kill(leader)
@@ -67,7 +70,7 @@
             self.deployment.pause(leader)
         return leader
 
-    async def _back(self, label: str) -> None:
+    async def _restore(self, label: str) -> None:
         if self.mode == "killed":
             self.deployment.start(label)
         else:
@@ -79,7 +82,7 @@
 
 
 async def measure(options: argparse.Namespace, folder: pathlib.Path) -> None:
-    """All rounds on one deployment that begins without machines."""
+    """Run all rounds on one deployment that starts without machines."""
     enabled = "true" if options.duties == "on" else "false"
     operators = f"idle_boots = 0.2\n[duties]\nenabled = {enabled}\n"
     async with running_deployment(folder, 0, options.lease_s, operators) as deployment:
@@ -87,19 +90,19 @@
         rounds = Rounds(deployment, options.mode)
         await anyio.sleep(SETTLE_S)
         for number in range(options.rounds):
-            await rounds.one(disturbed=number % 2 == 1)
+            await rounds.run_round(disturbed=number % 2 == 1)
         for disturbed, name in ((False, "undisturbed"), (True, f"leader {options.mode}")):
-            print(percentiles(f"{name}: rented after", rounds.rented[disturbed]))
-            print(percentiles(f"{name}: returned after", rounds.returned[disturbed]))
+            print(percentiles(f"{name}: rented after", rounds.rental_delays[disturbed]))
+            print(percentiles(f"{name}: released after", rounds.release_delays[disturbed]))
         in_use = [action for action in deployment.cluster.cloud_actions if action.hosts_in_use]
         print(f"{len(deployment.cluster.cloud_actions)} actions, {len(in_use)} on machines in use")
         if options.duties == "on":
             check_cloud_actions(deployment.cluster)
-            print("every action was recorded under its duty's token before it went out")
+            print("every action was recorded under its duty's token before it was sent")
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--rounds", type=int, default=20)
     parser.add_argument("--mode", choices=("killed", "paused"), default="killed")
--- a/tests/loopback/measure_scale.py
+++ b/tests/loopback/measure_scale.py
@@ -1,9 +1,9 @@
-"""What a fleet's size costs: from 300 machines to thousands, against one set of controllers.
+"""Measures the cost of a fleet's size: from 300 machines to thousands, with three controllers.
 
     python3 -m tests.loopback.measure_scale --machines 300 900 2000 4000 6000
 
-Real processes on this machine against the stand-ins, whose own time limits the rate of reports:
-give more machines a longer `--report-s`. Prints percentiles in seconds.
+Real processes on this machine, beside simulated services. The processor time of the services limits
+the rate of heartbeats: give more machines a longer `--report-s`. Prints percentiles in seconds.
 """
 
 from __future__ import annotations
@@ -26,20 +26,22 @@
 
 TASK_S = 30.0
 TASKS_PER_JOB = 1000
-PROBE_S = 0.05
+PROBE_INTERVAL_S = 0.05
 RESIDENT = re.compile(r"VmRSS:\s+(\d+) kB")
 
 
 def memory_mb(pid: int) -> float:
-    """What a process holds now."""
+    """Return the resident memory of a process in MB (1024 kB)."""
     found = RESIDENT.search(pathlib.Path(f"/proc/{pid}/status").read_text())
     assert found is not None
     return int(found[1]) / 1024
 
 
 class Probe(threading.Thread):
-    """Asks a controller for `/up` again and again: an answer waits for the step under way. In a
-    thread of its own, so that the stand-ins' work is not measured with it."""
+    """Measures how long a controller's responses to `/up` take: each waits for the current step.
+
+    Runs in a thread of its own, so that it does not measure the work of the simulated services.
+    """
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__(daemon=True)
@@ -47,21 +49,21 @@
         self.label: str | None = None
         self.took = histogram()
 
-    def look_at(self, label: str | None) -> HdrHistogram:
-        """Measure this controller from now on; returns what was measured so far."""
+    def measure(self, label: str | None) -> HdrHistogram:
+        """Measure this controller from now on, none if None; return what was measured so far."""
         took, self.took = self.took, histogram()
         self.label = label
         return took
 
     def run(self) -> None:
-        """Until the process ends."""
+        """Send requests until the process ends."""
         while True:
             label, took = self.label, self.took
             if label is not None:
                 began = time.monotonic()
                 if self._ask(label):
                     took.record_value(max(1, round((time.monotonic() - began) * 1000)))
-            time.sleep(PROBE_S)
+            time.sleep(PROBE_INTERVAL_S)
 
     def _ask(self, label: str) -> bool:
         connection = http.client.HTTPConnection(self.deployment.serve[label], timeout=30)
@@ -75,7 +77,7 @@
 
 
 class Scale:
-    """One size of fleet."""
+    """Measures one size of fleet."""
 
     def __init__(self, deployment: Deployment, steady_s: float) -> None:
         self.deployment = deployment
@@ -84,30 +86,34 @@
         self.probe = Probe(deployment)
 
     def owners(self) -> dict[str, int]:
-        """Blocks by holder."""
+        """Return the number of shards by owner."""
         found: dict[str, int] = {}
         for record in self.cluster.shards().values():
             found[str(record["holder"])] = found.get(str(record["holder"]), 0) + 1
         return found
 
-    def _shown(self, token: int) -> Callable[[], bool]:
-        """All machines have reported with the token; each is looked at until it has."""
-        left = list(self.cluster.workers.values())
+    def _all_reported_with(self, token: int) -> Callable[[], bool]:
+        """Return a condition: every machine has reported with the token, or was released.
+
+        A machine is no longer checked once it has.
+        """
+        remaining = list(self.cluster.workers.values())
 
         def met() -> bool:
-            while left and (
-                left[-1].reported_token >= token or left[-1].host not in self.cluster.workers
+            while remaining and (
+                remaining[-1].reported_token >= token
+                or remaining[-1].host not in self.cluster.workers
             ):
-                left.pop()  # or it was released
-            return not left
+                remaining.pop()
+            return not remaining
 
         return met
 
-    async def steady(self) -> None:
-        """What an undisturbed spell takes of the first block's holder."""
+    async def measure_steady_load(self) -> None:
+        """Print the cost to the first shard's owner of a time without failures."""
         owner = str(self.deployment.owner())
         pid = self.deployment.processes[owner].pid
-        self.probe.look_at(owner)
+        self.probe.measure(owner)
         used, reports, changes = (
             cpu_s(pid),
             self.cluster.heartbeat_count,
@@ -117,65 +123,69 @@
         await anyio.sleep(self.steady_s)
         used, reports = cpu_s(pid) - used, self.cluster.heartbeat_count - reports
         print(
-            f"steady {self.steady_s:g} s: {reports} check-ins,"
+            f"steady {self.steady_s:g} s: {reports} heartbeats,"
             f" {len(self.cluster.task_starts) - starts} starts,"
             f" {self.cluster.state.changes - changes} changes;"
-            f" holder {used:.2f} s of processor time,"
-            f" {1000 * used / max(1, reports):.2f} ms a check-in, {memory_mb(pid):.0f} MB;"
-            f" blocks {self.owners()}"
+            f" owner {used:.2f} s of processor time,"
+            f" {1000 * used / max(1, reports):.2f} ms a heartbeat, {memory_mb(pid):.0f} MB;"
+            f" shards {self.owners()}"
         )
-        print(percentiles("  /up of the holder", self.probe.look_at(None)))
+        print(percentiles("  /up of the owner", self.probe.measure(None)))
 
-    async def takeover(self) -> None:
-        """End the holder; wait until every machine of the fleet has shown the new token."""
+    async def measure_takeover(self) -> None:
+        """Kill the owner; wait until every machine has reported with the new token."""
         old = str(self.deployment.owner())
         token_count = len(self.cluster.fencing_tokens)
         changes, began = self.cluster.state.changes, self.cluster.now
         released = len(self.cluster.released_hosts)
         self.deployment.kill(old)
         await self.deployment.wait_until(
-            lambda: len(self.cluster.fencing_tokens) > token_count, 120.0, "the block changes hands"
+            lambda: len(self.cluster.fencing_tokens) > token_count,
+            120.0,
+            "the shard has a new owner",
         )
-        held_s = self.cluster.now - began
+        owned_after_s = self.cluster.now - began
         writes = self.cluster.state.changes - changes
-        self.probe.look_at(self.deployment.owner())
+        self.probe.measure(self.deployment.owner())
         token = self.cluster.fencing_tokens[-1]
         await self.deployment.wait_until(
-            self._shown(token),
+            self._all_reported_with(token),
             300.0,
-            "all machines have shown the new token",
+            "all machines have reported with the new token",
         )
         print(
-            f"takeover: held after {held_s:.1f} s ({writes} changes by then),"
+            f"takeover: owned after {owned_after_s:.1f} s ({writes} changes by then),"
             f" all machines confirmed after {self.cluster.now - began:.1f} s,"
             f" {len(self.cluster.released_hosts) - released} released meanwhile"
         )
-        print(percentiles("  /up of the new holder", self.probe.look_at(None)))
+        print(percentiles("  /up of the new owner", self.probe.measure(None)))
         self.deployment.start(old)
 
-    async def all_end(self) -> None:
-        """End all controllers at once and start them again; wait for every machine."""
+    async def measure_full_restart(self) -> None:
+        """Kill all controllers, start them again and wait until every machine has reported."""
         token_count, began = len(self.cluster.fencing_tokens), self.cluster.now
         for label in CONTROLLER_LABELS:
             self.deployment.kill(label)
         for label in CONTROLLER_LABELS:
             self.deployment.start(label)
         await self.deployment.wait_until(
-            lambda: len(self.cluster.fencing_tokens) > token_count, 120.0, "the block changes hands"
+            lambda: len(self.cluster.fencing_tokens) > token_count,
+            120.0,
+            "the shard has a new owner",
         )
         token = self.cluster.fencing_tokens[-1]
         await self.deployment.wait_until(
-            self._shown(token),
+            self._all_reported_with(token),
             300.0,
-            "all machines have shown the new token",
+            "all machines have reported with the new token",
         )
         print(
-            f"all controllers ended: all machines confirmed after {self.cluster.now - began:.1f} s"
+            f"all controllers killed: all machines confirmed after {self.cluster.now - began:.1f} s"
         )
 
 
 async def measure(options: argparse.Namespace, machines: int, folder: pathlib.Path) -> None:
-    """All of it for one size."""
+    """Run all measurements for one size of fleet."""
     operators = f"machines_max = {machines}\nidle_boots = 50.0\n"
     sockets = options.sockets or 2 * machines + 200
     print(f"-- {machines} machines, a report every {options.report_s:g} s, {sockets} sockets")
@@ -190,27 +200,29 @@
             scale.probe.start()
             cluster = deployment.cluster
             await deployment.wait_until(
-                lambda: len(cluster.task_starts) >= machines, 120.0, "work runs"
+                lambda: len(cluster.task_starts) >= machines, 120.0, "tasks have started"
             )
-            await scale.steady()
-            await scale.takeover()
+            await scale.measure_steady_load()
+            await scale.measure_takeover()
             sessions = [f"live/session/{label}" for label in CONTROLLER_LABELS]
             await deployment.wait_until(
                 lambda: all(key in cluster.state.entries for key in sessions), 60.0, "all sessions"
             )
-            await scale.all_end()
+            await scale.measure_full_restart()
             tasks.cancel_scope.cancel()
         assert not cluster.violations
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--machines", type=int, nargs="+", default=[300, 900, 2000, 4000, 6000])
     parser.add_argument("--report-s", type=float, default=10.0)
     parser.add_argument("--lease-s", type=float, default=60.0)
     parser.add_argument("--steady-s", type=float, default=30.0)
-    parser.add_argument("--sockets", type=int, default=0, help="of each controller; 0: enough")
+    parser.add_argument(
+        "--sockets", type=int, default=0, help="limit of each controller; 0: enough"
+    )
     parser.add_argument("--logs", type=pathlib.Path, help="a new folder to keep the logs in")
     options = parser.parse_args()
     for machines in options.machines:
--- a/tests/loopback/measure_shares.py
+++ b/tests/loopback/measure_shares.py
@@ -1,12 +1,13 @@
-"""How long shares take to be met, and what they give the side that does not flood.
+"""Measures how long shards take to match their shares, and how shares protect a team from a flood.
 
     python3 -m tests.loopback.measure_shares --machines 50 --moves 20 --part 0.25
     python3 -m tests.loopback.measure_shares --machines 50 --flood 60 --shares off
     python3 -m tests.loopback.measure_shares --machines 50 --flood 60 --alike --shares on
 
-Real processes on this machine against the stand-ins. Moves a part of the fleet back and forth under
-load and prints percentiles until the blocks match; or lets one team flood and prints how long the
-other team's jobs take, small ones or such as the flood is made of.
+Real processes on this machine, beside simulated services. Moves a part of the fleet back and forth
+under load and prints percentiles of the time until the shards match their shares; or lets one team
+flood the fleet with tasks and prints how long the other team's jobs take: small jobs, or with
+`--alike` jobs like those of the flood.
 """
 
 from __future__ import annotations
@@ -26,15 +27,15 @@
 from tests.simulated_cluster import CONTROLLER_LABELS, job_spec
 
 TASK_S = 5.0
-LOOKUP_EVERY_S = 2.0
-MET_WITHIN_S = 120.0
-# Jobs of the other team that are like the flood's come so often: a quarter of the fleet's room.
-ALIKE_EVERY_S = 10.0
-LOOKUP_FIRST = 500_000  # numbers of the other team's jobs
+LOOKUP_INTERVAL_S = 2.0
+CONVERGENCE_TIMEOUT_S = 120.0
+# Interval of the other team's jobs that are like the flood's: they need a quarter of the fleet.
+ALIKE_INTERVAL_S = 10.0
+FIRST_LOOKUP_NUMBER = 500_000  # number of the other team's first job
 
 
 async def set_shares(deployment: Deployment, shares: dict[str, Share]) -> SharesResponse:
-    """Replace the table, at whichever controller answers."""
+    """Replace the table of shares at the first controller that accepts the request."""
     request = SetShares(shares, f"measure-{time.monotonic_ns()}")
     while True:
         for label in CONTROLLER_LABELS:
@@ -47,7 +48,7 @@
 async def shares_call(
     deployment: Deployment, label: str, body: bytes | None
 ) -> SharesResponse | None:
-    """`POST /shares` with a body, `GET` without; None where that did not succeed."""
+    """Send `POST /shares` with a body, `GET` without one; return None if it did not succeed."""
     done = anyio.Event()
     found: list[SharesResponse] = []
 
@@ -65,20 +66,20 @@
 
 
 async def wait_until_converged(deployment: Deployment) -> None:
-    """Wait until a controller says that all blocks match their shares."""
-    until = time.monotonic() + MET_WITHIN_S
+    """Wait until a controller reports that all shards match their shares."""
+    until = time.monotonic() + CONVERGENCE_TIMEOUT_S
     while time.monotonic() < until:
         answer = await shares_call(deployment, CONTROLLER_LABELS[0], None)
         if answer is not None and answer.converged:
             return
         await anyio.sleep(0.05)
-    raise TimeoutError(f"shares not met within {MET_WITHIN_S} s: {answer}")
+    raise TimeoutError(f"shares not met within {CONVERGENCE_TIMEOUT_S} s: {answer}")
 
 
-async def move(deployment: Deployment, moves: int, part: float) -> None:
-    """Move a part of the fleet to one block and back."""
+async def measure_moves(deployment: Deployment, moves: int, part: float) -> None:
+    """Move a part of the fleet to one shard and back, and print how long it takes."""
     cluster = deployment.cluster
-    taken = histogram()
+    delays = histogram()
     await set_shares(deployment, {"node-0": Share(1.0), "node-1": Share(1.0)})
     await wait_until_converged(deployment)
     changes, began, starts = cluster.state.changes, cluster.now, len(cluster.task_starts)
@@ -87,25 +88,28 @@
         since = time.monotonic()
         await set_shares(deployment, {"node-0": Share(first), "node-1": Share(1.0 - first)})
         await wait_until_converged(deployment)
-        taken.record_value(round((time.monotonic() - since) * 1000))
+        delays.record_value(round((time.monotonic() - since) * 1000))
         await anyio.sleep(2.0)
     seconds = cluster.now - began
-    print(percentiles("shares met after", taken))
+    print(percentiles("shares met after", delays))
     print(
         f"{len(cluster.task_starts) - starts} tasks started, {len(cluster.stopped_tasks)} stopped,"
         f" {(cluster.state.changes - changes) / seconds:.1f} changes a second"
     )
 
 
-async def lookups(deployment: Deployment, seconds: float, alike: bool) -> None:
-    """Jobs of the other team while the first one floods: small ones, or like the flood's."""
+async def measure_lookups(deployment: Deployment, seconds: float, alike: bool) -> None:
+    """Submit jobs of the other team during the flood, and print how long they take.
+
+    The jobs are small, or with `alike` like those of the flood.
+    """
     task_count = deployment.cluster.capacity if alike else 2
     task_s = TASK_S if alike else 2.0
-    every_s = ALIKE_EVERY_S if alike else LOOKUP_EVERY_S
+    interval_s = ALIKE_INTERVAL_S if alike else LOOKUP_INTERVAL_S
     cluster = deployment.cluster
-    taken = histogram()
+    delays = histogram()
     until = cluster.now + seconds
-    number = LOOKUP_FIRST
+    number = FIRST_LOOKUP_NUMBER
 
     async def one(uid: int) -> None:
         spec = job_spec(uid, crew="lookup", pieces=task_count, expect_s=task_s, size_gb=0.1)
@@ -115,18 +119,18 @@
             await deployment.wait_until(
                 lambda: bool(cluster.job_state(spec["uid"]) == "done"), 300.0, "a lookup is done"
             )
-            taken.record_value(round((time.monotonic() - since) * 1000))
+            delays.record_value(round((time.monotonic() - since) * 1000))
 
     async with anyio.create_task_group() as tasks:
         while cluster.now < until:
             number += 1
             tasks.start_soon(one, number)
-            await anyio.sleep(every_s)
-    print(percentiles("the other team's jobs done after", taken))
+            await anyio.sleep(interval_s)
+    print(percentiles("the other team's jobs done after", delays))
 
 
 async def measure(options: argparse.Namespace, folder: pathlib.Path) -> None:
-    """One deployment, under a load that never ends."""
+    """Run one of the measurements on a deployment under constant load."""
     enabled = "true" if options.shares == "on" else "false"
     operators = (
         f"machines_max = {options.machines}\nidle_boots = 50.0\n[shares]\nenabled = {enabled}\n"
@@ -144,24 +148,32 @@
                 await wait_until_converged(deployment)
             tasks.start_soon(Load(deployment, TASK_S, options.machines).run)
             await deployment.wait_until(
-                lambda: len(cluster.task_starts) >= options.machines // 2, 60.0, "work has begun"
+                lambda: len(cluster.task_starts) >= options.machines // 2,
+                60.0,
+                "tasks have started",
             )
             if options.flood:
-                await lookups(deployment, options.flood, options.alike)
+                await measure_lookups(deployment, options.flood, options.alike)
             else:
-                await move(deployment, options.moves, options.part)
+                await measure_moves(deployment, options.moves, options.part)
             tasks.cancel_scope.cancel()
         assert not cluster.violations
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--machines", type=int, default=50)
     parser.add_argument("--moves", type=int, default=20)
-    parser.add_argument("--part", type=float, default=0.25, help="of the fleet, moved each time")
-    parser.add_argument("--flood", type=float, default=0.0, help="seconds of the other measurement")
-    parser.add_argument("--alike", action="store_true", help="its jobs are like the flood's")
+    parser.add_argument(
+        "--part", type=float, default=0.25, help="part of the fleet that is moved each time"
+    )
+    parser.add_argument(
+        "--flood", type=float, default=0.0, help="measure the flood instead, for so many seconds"
+    )
+    parser.add_argument(
+        "--alike", action="store_true", help="the other team's jobs are like the flood's"
+    )
     parser.add_argument("--report-s", type=float, default=1.0)
     parser.add_argument("--shares", choices=("on", "off"), default="on")
     options = parser.parse_args()
--- a/tests/loopback/measure_takeover.py
+++ b/tests/loopback/measure_takeover.py
@@ -1,9 +1,9 @@
-"""How long a takeover takes: from the holder's end to its successor's first placement.
+"""Measures takeovers: from the owner's failure to its successor's first placement.
 
     python3 -m tests.loopback.measure_takeover --machines 50 --mode killed --standby on
 
-Real processes on this machine against the stand-ins. Prints percentiles in milliseconds; what the
-stream of decisions cost is read from the logs and from the processes' times.
+Real processes on this machine, beside simulated services. Prints percentiles in seconds, and the
+cost of replication, which is read from the logs and from the processes' processor time.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from tests.simulated_cluster import CONTROLLER_LABELS, job_spec
 
 PERCENTILES = (50.0, 90.0, 99.0, 100.0)
-LONGEST_MS = 120_000
+MAX_RECORDED_MS = 120_000
 TASK_S = 15.0
 TASKS_PER_JOB = 2000
-# Tasks kept waiting for each machine.
+# Number of tasks that are kept waiting for each machine.
 WAITING_TASKS = 4
-STEADY_S = 4.0  # between a takeover and the next one, at the least
+MIN_STEADY_S = 4.0  # between a takeover and the next one
 STATUS = re.compile(r"replication status shard=\S+ token=(\d+) entries=(\d+) bytes=(\d+)")
-TICKS = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class Load:
-    """Keeps more tasks waiting than there is room for."""
+    """Submits jobs so that more tasks are waiting than the machines can run."""
 
     def __init__(
         self, deployment: Deployment, task_s: float = TASK_S, tasks_per_job: int = TASKS_PER_JOB
@@ -48,7 +48,7 @@
         return self.number * self.tasks_per_job - started
 
     async def run(self) -> None:
-        """Submit further jobs as they are needed."""
+        """Submit further jobs as needed, until cancelled."""
         while True:
             if self.waiting() < self.deployment.cluster.capacity * WAITING_TASKS:
                 spec = job_spec(
@@ -62,24 +62,24 @@
 
 
 def histogram() -> HdrHistogram:
-    """Milliseconds, to three digits."""
-    return HdrHistogram(1, LONGEST_MS, 3)
+    """Return an empty histogram of milliseconds with three significant digits."""
+    return HdrHistogram(1, MAX_RECORDED_MS, 3)
 
 
 def percentiles(name: str, found: HdrHistogram) -> str:
-    """One line of a histogram."""
+    """Return a histogram's percentiles in seconds, as one line."""
     values = " ".join(f"p{p:g}={found.get_value_at_percentile(p) / 1000:.2f}" for p in PERCENTILES)
     return f"{name} n={found.get_total_count()} {values} s"
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of a process so far."""
+    """Return the processor time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 class Takeovers:
-    """Ends one holder after the other and measures what follows."""
+    """Kills or pauses one shard owner after the other and measures the takeovers."""
 
     def __init__(self, deployment: Deployment, mode: str) -> None:
         self.deployment = deployment
@@ -88,8 +88,8 @@
         self.ownership_delays = histogram()
         self.placement_delays = histogram()
 
-    async def one(self) -> None:
-        """End the holder; wait for the first placement under the next token; bring it back."""
+    async def run_takeover(self) -> None:
+        """Fail the owner; wait for the first placement under the next token; restore it."""
         old = self.deployment.owner()
         assert old is not None
         token_count = len(self.cluster.fencing_tokens)
@@ -100,7 +100,9 @@
         else:
             self.deployment.pause(old)
         await self.deployment.wait_until(
-            lambda: len(self.cluster.fencing_tokens) > token_count, 60.0, "the block changes hands"
+            lambda: len(self.cluster.fencing_tokens) > token_count,
+            60.0,
+            "the shard has a new owner",
         )
         self.ownership_delays.record_value(round((self.cluster.now - began) * 1000))
         token = self.cluster.fencing_tokens[-1]
@@ -116,17 +118,17 @@
         else:
             self.deployment.resume(old)
 
-    async def steady(self) -> None:
-        """All three are there again, and the fleet is at work."""
+    async def wait_until_steady(self) -> None:
+        """Wait until all three controllers have a session, and let the fleet work for a while."""
         sessions = [f"live/session/{label}" for label in CONTROLLER_LABELS]
         await self.deployment.wait_until(
             lambda: all(key in self.cluster.state.entries for key in sessions), 60.0, "all sessions"
         )
-        await anyio.sleep(STEADY_S)
+        await anyio.sleep(MIN_STEADY_S)
 
 
 async def measure(options: argparse.Namespace, folder: pathlib.Path) -> None:
-    """Steady cost first, then the takeovers."""
+    """Measure the steady cost first, then the takeovers."""
     enabled = "true" if options.standby == "on" else "false"
     operators = f"machines_max = {options.machines}\n[standby]\nenabled = {enabled}\n"
     async with running_deployment(
@@ -138,19 +140,19 @@
             await deployment.wait_until(
                 lambda: len(cluster.task_starts) >= options.machines, 60.0, "work has begun"
             )
-            await cost(deployment, options.steady_s)
+            await measure_steady_cost(deployment, options.steady_s)
             takeovers = Takeovers(deployment, options.mode)
             for _ in range(options.takeovers):
-                await takeovers.one()
-                await takeovers.steady()
-            print(percentiles("block held after", takeovers.ownership_delays))
+                await takeovers.run_takeover()
+                await takeovers.wait_until_steady()
+            print(percentiles("shard owned after", takeovers.ownership_delays))
             print(percentiles("first placement after", takeovers.placement_delays))
             tasks.cancel_scope.cancel()
         assert not cluster.violations
 
 
-async def cost(deployment: Deployment, seconds: float) -> None:
-    """What an undisturbed spell takes of the holder and of a follower, and what was sent."""
+async def measure_steady_cost(deployment: Deployment, seconds: float) -> None:
+    """Print the processor time of owner and followers without failures, and what was sent."""
     cluster = deployment.cluster
     owner = deployment.owner()
     before = {label: cpu_s(process.pid) for label, process in deployment.processes.items()}
@@ -162,7 +164,7 @@
     starts = len(cluster.task_starts) - starts
     followers = [used[label] for label in used if label != owner]
     print(
-        f"steady {seconds:g} s: {starts} tasks started, holder {used[str(owner)]:.2f} s of"
+        f"steady {seconds:g} s: {starts} tasks started, owner {used[str(owner)]:.2f} s of"
         f" processor time, followers {' and '.join(f'{value:.2f}' for value in followers)} s"
     )
     found = STATUS.findall(deployment.log_file(str(owner)).read_text())
@@ -172,7 +174,7 @@
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
     parser.add_argument("--machines", type=int, default=50)
     parser.add_argument("--takeovers", type=int, default=30)
--- a/tests/loopback/simulated_services.py
+++ b/tests/loopback/simulated_services.py
@@ -1,4 +1,4 @@
-"""The stand-ins: the simulated world's state service, cloud and workers behind real sockets."""
+"""The simulated cluster's state service, cloud and workers behind real sockets."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 from fallpulley.wire.server import Server
 from tests.simulated_cluster import CONTROLLER_LABELS, SimulatedCluster, Worker
 
-ACT_S = 0.05  # workers act, and leases end, so often
-REPORT_TIMEOUT_S = 4.0
-SOCKETS = 30_000
+STEP_INTERVAL_S = 0.05  # between two steps of the workers and of the leases
+REPORT_TIMEOUT_S = 4.0  # for the response to a heartbeat
+MAX_SOCKETS = 30_000  # of the client, and of each server of the state service and the cloud
 
 
 class LoopbackCluster(SimulatedCluster):
-    """Time is real, and what the simulated world hands over directly goes through sockets."""
+    """A simulated cluster in real time, whose messages go through sockets."""
 
     def __init__(
         self,
         machines: int,
         lease_s: float,
-        nodes: dict[str, str],
+        controller_addresses: dict[str, str],
         port: int,
         report_s: float = 1.0,
     ) -> None:
         self.port = port
         self.lease_s = lease_s
         self.report_s = report_s
-        self.controller_addresses = nodes  # label -> address for users and workers
+        self.controller_addresses = controller_addresses  # label -> address for users and workers
         self.state_address = f"127.0.0.1:{port}"
         self.cloud_address = f"127.0.0.1:{port + 1}"
         self.client: Client | None = None
         self.heartbeat_count = 0
         self.watches: list[tuple[Request, str, int, float]] = []
-        self.placements: list[tuple[float, int, str]] = []  # when, under which token, where
+        self.placements: list[tuple[float, int, str]] = []  # (time, token, host)
         super().__init__(0, start=False)
         self.capacity = machines
         for at in range(machines):
@@ -54,7 +54,7 @@
 
     @now.setter
     def now(self, value: float) -> None:
-        """The simulated world would set its clock."""
+        """Ignore the value: the simulated cluster would set its clock."""
 
     def add_machine(self, zone: str, spot: bool) -> str:
         host = super().add_machine(zone, spot)
@@ -62,12 +62,12 @@
         worker = self.workers[host]
         worker.address = f"127.1.{number // 200}.{number % 200 + 1}:{self.port}"
         self.workers_by_address[worker.address] = worker
-        # Reports of a fleet do not come all at once.
+        # Spreads the heartbeats of the fleet over the report interval.
         worker.next_heartbeat_at = self.now + self.report_s * (number % 997) / 997
         return host
 
     def task_duration_s(self, task_id: str) -> float:
-        """Tasks of a job differ by half, each the same wherever it runs: they end one by one."""
+        """Vary a job's task durations by half, so that they end one by one; the same on retry."""
         return super().task_duration_s(task_id) * random.Random(task_id).uniform(0.5, 1.5)
 
     # -- workers ---------------------------------------------------------------------------
@@ -92,7 +92,7 @@
     def _direct_command_handler(self, worker: Worker) -> Callable[[Request], None]:
         def post(request: Request) -> None:
             if worker.host not in self.workers:
-                return  # a machine that is no more answers nothing
+                return  # the machine was released: no response
             status, answer = worker.handle_direct_command(json.loads(request.body or b"{}"))
             request.pending_response(status, json.dumps(answer).encode(), None)
 
@@ -101,7 +101,7 @@
     # -- state service and cloud -----------------------------------------------------------
 
     def on_state(self, request: Request) -> None:
-        """A request to the state service; a look at changes may have to wait for one."""
+        """Handle a request to the state service; one for changes may wait for the next change."""
         if request.path.startswith("/changes"):
             query = request.path.partition("?")[2]
             args = dict(part.partition("=")[::2] for part in query.split("&"))
@@ -124,7 +124,7 @@
         self.watches = waiting
 
     def on_cloud(self, request: Request) -> None:
-        """A request to the cloud."""
+        """Handle a request to the cloud."""
         call = HttpCall("", request.method, request.path, request.body, 0.0, lambda *_: None)
         status, answer = self._handle_cloud_request(call)
         request.pending_response(status, json.dumps(answer).encode(), None)
@@ -132,22 +132,22 @@
     # -- running ---------------------------------------------------------------------------
 
     async def serve(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Listen on all addresses, and let workers act until the group is cancelled."""
-        self.client = Client(tasks, SOCKETS, [])
-        tasks.start_soon(Server(self.state_address, self.on_state, SOCKETS).run)
-        tasks.start_soon(Server(self.cloud_address, self.on_cloud, SOCKETS).run)
+        """Listen on all addresses, and step the workers until the task group is cancelled."""
+        self.client = Client(tasks, MAX_SOCKETS, [])
+        tasks.start_soon(Server(self.state_address, self.on_state, MAX_SOCKETS).run)
+        tasks.start_soon(Server(self.cloud_address, self.on_cloud, MAX_SOCKETS).run)
         for worker in self.workers.values():
             tasks.start_soon(Server(worker.address, self._direct_command_handler(worker), 16).run)
-        tasks.start_soon(self._act)
+        tasks.start_soon(self._step_repeatedly)
         tasks.start_soon(self._close_idle_connections)
 
-    async def _act(self) -> None:
+    async def _step_repeatedly(self) -> None:
         while True:
             self.state.expire_leases(self.now)
             self._answer_watches()
             for worker in list(self.workers.values()):
                 worker.step()
-            await anyio.sleep(ACT_S)
+            await anyio.sleep(STEP_INTERVAL_S)
 
     async def _close_idle_connections(self) -> None:
         while True:
@@ -160,7 +160,7 @@
     async def send_request(  # type: ignore[override]
         self, label: str, method: str, path: str, body: Any = None
     ) -> tuple[int, Any]:
-        """A user's request to one controller: status (0: no answer) and body."""
+        """Send a user's request to a controller; return status (0: no response) and body."""
         done: asyncio.Future[tuple[int, Any]] = asyncio.get_running_loop().create_future()
 
         def answered(status: int | None, answer: bytes) -> None:
@@ -173,7 +173,7 @@
         return await done
 
     async def submit(self, spec: dict[str, Any], within_s: float = 30.0) -> bool:
-        """Submit a job, at one controller after another, until it is accepted."""
+        """Submit a job to the controllers in turn; return whether one accepted it in time."""
         self.submissions[spec["uid"]] = spec
         until = self.now + within_s
         while self.now < until:
