--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -1,8 +1,8 @@
-"""A small world in memory, written from the protocol: state service, cloud, workers, network.
+"""A cluster simulated in memory from the protocol: state service, cloud, workers and network.
 
-Time moves in steps. Each step the controllers' effects are carried out, answers come back a
-step later, and workers act by the protocol's rules. The world itself watches the rules: a task
-on two machines, or a task of a cancelled job, ends the test.
+Time advances in steps. In each step the controllers' effects are carried out and workers follow
+the protocol; responses arrive one step later. The cluster checks invariants itself, such as that
+no task runs on two machines and no task of a cancelled job runs on: a violation ends the test.
 """
 
 from __future__ import annotations
@@ -90,23 +90,28 @@
 
 @dataclass
 class StateService:
+    """The state service: a key-value store with leases, transactions and a log of changes."""
+
+    # Key -> value, revision at which it was written, id of its lease (None: no lease).
     entries: dict[str, tuple[Any, int, int | None]] = field(default_factory=dict)
     revision: int = 0
     log: list[dict[str, Any]] = field(default_factory=list)
+    # Lease id -> duration in seconds, time at which it expires.
     leases: dict[int, tuple[float, float]] = field(default_factory=dict)
     down: bool = False
     requests: int = 0
     changes: int = 0
     value_bytes: int = 16 * 1024
     txn_ops: int = 16
-    write_rps: float = 0.0  # 0: not watched
-    oversized_transactions: int = 0  # transactions that were too large
-    rate_limited_transactions: int = 0  # and those beyond the rate
+    write_rps: float = 0.0  # changes allowed per second; 0: not limited
+    oversized_transactions: int = 0  # refused: too many changes or too large a value
+    rate_limited_transactions: int = 0  # refused: more changes per second than write_rps
     _write_tokens: float = 0.0
     _refilled_at: float = 0.0
     _last_lease: int = 0
 
     def expire_leases(self, now: float) -> None:
+        """End the leases that were not renewed in time; while the service is down, extend all."""
         if self.down:
             self.leases = {k: (life, now + life) for k, (life, _) in self.leases.items()}
             return
@@ -161,9 +166,10 @@
             return 200, self.events_after(args["under"], int(args["after"]))
         return 400, {}
 
-    def events_after(self, under: str, after: int) -> dict[str, Any]:
+    def events_after(self, prefix: str, after: int) -> dict[str, Any]:
+        """Return the changes of keys with this prefix that are newer than a revision."""
         first = bisect.bisect_right(self.log, after, key=lambda entry: entry["stamp"])
-        events = [e for e in self.log[first:] if e.get("set", e.get("drop", "")).startswith(under)]
+        events = [e for e in self.log[first:] if e.get("set", e.get("drop", "")).startswith(prefix)]
         return {"ledger": self.revision, "news": events}
 
     def commit(self, parsed: dict[str, Any], now: float = 0.0) -> tuple[int, Any]:
@@ -207,6 +213,8 @@
 
 
 class Worker:
+    """A machine and its agent: sends heartbeats, carries out commands and runs tasks."""
+
     def __init__(self, cluster: SimulatedCluster, host: str, zone: str, spot: bool) -> None:
         self.cluster, self.host, self.zone, self.spot = cluster, host, zone, spot
         number = int(host[3:])
@@ -216,12 +224,11 @@
         self.controller_index = 0
         self.next_heartbeat_at = cluster.now
         self.lease_start = cluster.now
-        self.heartbeat_in_flight: tuple[float, int] | None = (
-            None  # report in flight: sent at, number
-        )
+        # Send time and number of the heartbeat whose response is awaited.
+        self.heartbeat_in_flight: tuple[float, int] | None = None
         self.hung = False
         self.preemption_notice_s: float | None = None
-        self.reported_token = 0  # the highest token that it has reported
+        self.reported_token = 0  # highest fencing token in its heartbeats
         self._heartbeat_number = 0
 
     def build_heartbeat(self) -> dict[str, Any]:
@@ -246,7 +253,7 @@
 
     def running_tasks(self) -> list[str]:
         if self.hung and self.cluster.now - self.lease_start > self.cluster.lease_s:
-            return []  # does not run them, and will forget them when it resumes
+            return []  # the lease has expired: its tasks do not run and are dropped on resuming
         return [n for n, p in self.tasks.items() if p["stage"] in ("running", "saving")]
 
     def step(self) -> None:
@@ -321,7 +328,7 @@
         runs = [command["piece"] for command in reply["orders"] if command["verb"] == "run"]
         if runs and not self.cluster.is_confirmed(self.reported_token, reply["baton"]):
             self.cluster.violations.append(
-                f"{self.cluster.now:.2f} {runs} on {self.host} unconfirmed"
+                f"{self.cluster.now:.2f} {runs} sent to {self.host} by an unconfirmed owner"
             )
         if runs:
             self.cluster.run_responses.append(
@@ -342,7 +349,7 @@
         now = self.cluster.now
         for command in commands:
             name, task = command["piece"], self.tasks.get(command["piece"])
-            same = task is not None and task["try"] == command["try"]
+            same_attempt = task is not None and task["try"] == command["try"]
             if command["verb"] == "run":
                 self.cluster.commanded_hosts.setdefault(name, set()).add(self.host)
             if command["verb"] == "run" and task is None:
@@ -353,32 +360,34 @@
                     "token": self.fencing_token,
                 }
                 self.cluster.check_machine_capacity(self)
-            elif command["verb"] == "run" and not same:
+            elif command["verb"] == "run" and not same_attempt:
                 assert task is not None
                 task.update({"try": command["try"], "stage": "ended", "cause": "in_use"})
-            elif command["verb"] == "stop" and task is not None and same:
+            elif command["verb"] == "stop" and task is not None and same_attempt:
                 if task["stage"] != "ended":
                     self.cluster.stopped_tasks.append(name)
                     task.update({"stage": "ended", "cause": "stopped"})
                     self.next_heartbeat_at = min(self.next_heartbeat_at, now)
-            elif command["verb"] == "clear" and same and self.tasks[name]["stage"] == "ended":
+            elif (
+                command["verb"] == "clear" and same_attempt and self.tasks[name]["stage"] == "ended"
+            ):
                 del self.tasks[name]
 
 
 @dataclass
 class CloudAction:
-    """A rental or a return as the cloud carried it out."""
+    """A rental or a release of machines, as the cloud carried it out."""
 
-    at: float
-    state_revision: int  # of the state service then
-    sender: str  # controller and process
-    rental_id: str  # of the rental; empty: a return
+    at: float  # time of the simulated cluster, in seconds
+    state_revision: int  # revision of the state service at that time
+    sender: str  # controller and its process
+    rental_id: str  # empty for a release
     hosts: list[str]
-    hosts_in_use: list[str]  # machines that had tasks placed by the block's present holder
+    hosts_in_use: list[str]  # released machines with tasks placed by the shard's present owner
 
 
 class SimulatedCluster:
-    """Three controllers and all that they talk to."""
+    """Three controllers and every service and machine that they talk to."""
 
     step_s = STEP_S
     report_s = 1.0
@@ -400,53 +409,58 @@
         self.state = StateService()
         self.workers: dict[str, Worker] = {}
         self.workers_by_address: dict[str, Worker] = {}
-        # task -> machines that were ever told to run it
+        # Task -> machines that were ever sent a run command for it.
         self.commanded_hosts: dict[str, set[str]] = {}
         self.released_hosts: list[str] = []
         self.rentals: dict[str, list[str]] = {}
         self.capacity = 6
         self.controllers: dict[str, Controller] = {}
         self.controller_starts = 0
-        self.partitions: set[tuple[str, str]] = set()  # (from, to), hosts, labels, "state", "cloud"
+        # Pairs that cannot reach each other: hosts, controllers, "state" or "cloud".
+        self.partitions: set[tuple[str, str]] = set()
         self.commands: dict[str, list[Command]] = {label: [] for label in CONTROLLER_LABELS}
         self.polls: list[tuple[float, str, int, HttpCall]] = []
         self.scheduled: list[tuple[float, Callable[[], None]]] = []
         self.cancelled_at: dict[str, float] = {}
         self.violations: list[str] = []
         self.task_durations_s: dict[str, float] = {}
-        self.exit_reasons: dict[str, str] = {}  # host -> cause of every end there
+        self.exit_reasons: dict[str, str] = {}  # host -> exit reason of its tasks
         self.task_starts: list[tuple[float, str, str]] = []
         self.cloud_down = False
-        # Actions of these controllers get no answer, and are carried out so much later.
+        # Controller -> delay in seconds after which its cloud actions are carried out; it gets no
+        # response to them.
         self.unanswered_cloud_actions: dict[str, float] = {}
         self.cloud_actions: list[CloudAction] = []
-        self.wall_clock_offsets_s: dict[str, float] = {}  # controllers whose time of day is wrong
-        self.clock_rates: dict[str, float] = {}  # controllers whose steady clock runs fast
-        self.machine_list_requests = 0  # pages of the cloud's list
-        # hosts whose reports arrive, but nothing reaches them
+        self.wall_clock_offsets_s: dict[str, float] = {}  # controller -> error of its time of day
+        self.clock_rates: dict[str, float] = {}  # controller -> speed of its monotonic clock
+        self.machine_list_requests = 0  # requests for a page of the cloud's machine list
+        # Hosts whose heartbeats arrive, but which no response or direct command reaches.
         self.response_loss_hosts: set[str] = set()
-        self.sent_heartbeats: dict[str, list[bytes]] = {}  # host -> bodies of its check-ins
-        # hosts whose reports arrive nowhere, though commands do
+        self.sent_heartbeats: dict[str, list[bytes]] = {}  # host -> bodies of its heartbeats
+        # Hosts whose heartbeats are lost, though direct commands reach them.
         self.heartbeat_loss_hosts: set[str] = set()
         self.command_loss_hosts: set[str] = set()  # hosts that direct commands do not reach
-        # controllers that the state service answers with 503
+        # Controllers that the state service answers with 503.
         self.refused_controllers: set[str] = set()
-        # Transactions of these controllers get no answer, and are carried out so much later.
+        # Controller -> delay in seconds after which its transactions are carried out; it gets no
+        # response to them.
         self.unanswered_transactions: dict[str, float] = {}
-        self.state_delay_s = 0.0  # the state service's answers take so much longer
-        # controllers that do nothing for now; what comes waits
+        self.state_delay_s = 0.0  # added to the time of the state service's responses
+        # Controllers that make no steps; commands for them are queued meanwhile.
         self.paused_controllers: set[str] = set()
-        # What becomes of a message from one controller to another: copies, each after so long.
+        # (sender, receiver, body) of a message between controllers -> delays in seconds of the
+        # copies that arrive; an empty list loses the message.
         self.peer_message_delays: Callable[[str, str, bytes], list[float]] = (
             lambda one, other, body: [0.0]
         )
-        # Every answer with a `run`: the state service's revision then, the machine, the token.
+        # Each heartbeat response with a run command: revision of the state service, host, token.
         self.run_responses: list[tuple[int, str, int]] = []
-        self.stopped_tasks: list[str] = []  # tasks that a stop has ended
-        # Stamps at which the only block changed hands: a reply's tenure is the last one before it.
+        self.stopped_tasks: list[str] = []  # tasks ended by a stop command
+        # Revisions at which the only shard got a new owner, oldest first. A token belongs to the
+        # owner whose revision is the highest one not above it.
         self.fencing_tokens: list[int] = [0]
         self._shard_owner: tuple[str, str] | None = None
-        self.submissions: dict[str, dict[str, Any]] = {}  # of every submission
+        self.submissions: dict[str, dict[str, Any]] = {}  # job -> its submission
         self._last_machine_number = 0
         for at in range(machines):
             self.add_machine("ab"[at % 2], spot=False)
@@ -466,14 +480,14 @@
     def start_controller(
         self, label: str, older: bool = False, operators: dict[str, Any] | None = None
     ) -> None:
-        """`older`: a process that does not know the newer record format."""
+        """Start a process of this controller; an `older` one knows only record format 1."""
         self.controller_starts += 1
         self.commands[label] = []
-        made = controller_settings(
+        settings = controller_settings(
             label, self.operators if operators is None else operators, **self.facts
         )
         self.controllers[label] = Controller(
-            made, f"boot-{self.controller_starts}", lambda: self.now
+            settings, f"boot-{self.controller_starts}", lambda: self.now
         )
         if older:
             self.controllers[label].parts.session.record_format = 1
@@ -483,7 +497,7 @@
             self.controllers.pop(label, None)
 
     def owner(self) -> str:
-        """The holder of the only block, by the state service."""
+        """Return the owner of the only shard, according to the state service."""
         (record,) = [
             v for k, (v, _, _) in self.state.entries.items() if k.startswith("live/block/")
         ]
@@ -504,7 +518,7 @@
             other = self.workers.get(host)
             if other is not None and other is not worker and task_id in other.running_tasks():
                 self.violations.append(
-                    f"{self.now:.2f} {task_id} on {other.host} and {worker.host}"
+                    f"{self.now:.2f} {task_id} runs on {other.host} and {worker.host}"
                 )
         uid = task_id.partition("/")[0]
         spec = self.submissions.get(uid, {})
@@ -518,25 +532,32 @@
             ]
         if spec.get("one_zone") and any(zone != worker.zone for zone in other_zones):
             self.violations.append(
-                f"{self.now:.2f} {task_id} starts in {worker.zone}, others in {other_zones}"
+                f"{self.now:.2f} {task_id} starts in {worker.zone}, "
+                f"others of its one-zone job run in {other_zones}"
             )
         if spec.get("apart") and other_zones.count(worker.zone) + 1 > (spec["pieces"] + 1) // 2:
-            self.violations.append(f"{self.now:.2f} {task_id} is one too many in {worker.zone}")
+            self.violations.append(
+                f"{self.now:.2f} {task_id} puts more than half of its job in {worker.zone}"
+            )
         for awaited in spec.get("awaits") or ():
             if self.job_state(awaited) != "done":
                 self.violations.append(f"{self.now:.2f} {task_id} starts before {awaited} is done")
         cancelled_at = self.cancelled_at.get(uid)
         if cancelled_at is not None and self.now > cancelled_at + self.cancel_s:
-            self.violations.append(f"{self.now:.2f} {task_id} starts after its cancel")
+            self.violations.append(
+                f"{self.now:.2f} {task_id} starts too long after its job was cancelled"
+            )
 
     def check_machine_capacity(self, worker: Worker) -> None:
-        """No more is ordered than the machine holds."""
-        there = [name for name, task in worker.tasks.items() if task["stage"] != "ended"]
+        """Check that a machine is not given tasks beyond its CPUs."""
+        assigned = [name for name, task in worker.tasks.items() if task["stage"] != "ended"]
         used = sum(
-            self.submissions.get(name.partition("/")[0], {}).get("cpus", 0.0) for name in there
+            self.submissions.get(name.partition("/")[0], {}).get("cpus", 0.0) for name in assigned
         )
         if used > MACHINE_TYPE["cpus"] + 1e-6:
-            self.violations.append(f"{self.now:.2f} {worker.host} is given {used} CPUs of work")
+            self.violations.append(
+                f"{self.now:.2f} {worker.host} has tasks for {used} CPUs, more than it has"
+            )
 
     def is_partitioned(self, one: str, other: str) -> bool:
         return (one, other) in self.partitions or (other, one) in self.partitions
@@ -547,7 +568,7 @@
         body = json.dumps(worker.build_heartbeat()).encode()
         self.sent_heartbeats.setdefault(worker.host, []).append(body)
 
-        def settle(status: int, answer: bytes, retry: float | None) -> None:
+        def receive_response(status: int, answer: bytes, retry: float | None) -> None:
             if (
                 not self.is_partitioned(worker.host, label)
                 and worker.host not in self.response_loss_hosts
@@ -560,28 +581,32 @@
             not self.is_partitioned(worker.host, label)
             and worker.host not in self.heartbeat_loss_hosts
         ):
-            self.commands[label].append(Request(settle, "POST", "/checkin", body))
+            self.commands[label].append(Request(receive_response, "POST", "/checkin", body))
 
     def send_request(self, label: str, method: str, path: str, body: Any = None) -> list[Any]:
-        """Send a user's request; the returned list gets status, body and Retry-After."""
-        found: list[Any] = []
+        """Send a user's request.
+
+        The returned list is empty until the response arrives; then it has status, body and
+        Retry-After.
+        """
+        response: list[Any] = []
         data = body if isinstance(body, bytes) else json.dumps(body).encode() if body else b""
         if path == "/work" and isinstance(body, dict):
             self.submissions.setdefault(str(body.get("uid")), body)
 
-        def settle(status: int, answer: bytes, retry: float | None) -> None:
-            found.extend([status, json.loads(answer) if answer else None, retry])
-            if path.endswith("/abort") and status == 200 and found[1]["stage"] == "withdrawn":
+        def receive_response(status: int, answer: bytes, retry: float | None) -> None:
+            response.extend([status, json.loads(answer) if answer else None, retry])
+            if path.endswith("/abort") and status == 200 and response[1]["stage"] == "withdrawn":
                 self.cancelled_at.setdefault(path.split("/")[2], self.now)
 
-        self.commands[label].append(Request(settle, method, path, data))
-        return found
+        self.commands[label].append(Request(receive_response, method, path, data))
+        return response
 
     def request(self, label: str, method: str, path: str, body: Any = None) -> tuple[Any, ...]:
-        """Like `ask`, and run until the answer is there."""
-        found = self.send_request(label, method, path, body)
-        self.run_until(lambda: bool(found), 5.0)
-        return tuple(found)
+        """Send a user's request, run until its response arrives and return it."""
+        response = self.send_request(label, method, path, body)
+        self.run_until(lambda: bool(response), 5.0)
+        return tuple(response)
 
     def _call(self, label: str, call: HttpCall) -> None:
         sent_at = self.now * self.clock_rates.get(label, 1.0)
@@ -601,12 +626,12 @@
                 self.scheduled.append((self.now + self.step_s, lambda: respond(503, b"")))
             elif call.path == "/txn" and label in self.unanswered_transactions:
                 self.scheduled.append((self.now + call.timeout_s, lambda: respond(None, b"")))
-                late_s = self.unanswered_transactions[label]
-                if late_s <= 0:
+                delay_s = self.unanswered_transactions[label]
+                if delay_s <= 0:
                     self.state.handle(call.method, call.path, call.body, self.now)
                 else:
                     self.scheduled.append(
-                        (self.now + late_s, lambda: self._execute_transaction(call))
+                        (self.now + delay_s, lambda: self._execute_transaction(call))
                     )
             else:
                 status, answer = self.state.handle(call.method, call.path, call.body, self.now)
@@ -619,12 +644,12 @@
                     )
         elif call.address == CLOUD_ADDRESS:
             sender = f"{label} {caller.parts.context.incarnation}"
-            late_s = self.unanswered_cloud_actions.get(label, 0.0)
+            delay_s = self.unanswered_cloud_actions.get(label, 0.0)
             if self.is_partitioned(label, "cloud"):
                 self.scheduled.append((self.now + call.timeout_s, lambda: respond(None, b"")))
-            elif late_s and call.method == "POST":
+            elif delay_s and call.method == "POST":
                 self.scheduled.append(
-                    (self.now + late_s, lambda: self._execute_cloud_action(call, sender))
+                    (self.now + delay_s, lambda: self._execute_cloud_action(call, sender))
                 )
                 self.scheduled.append((self.now + call.timeout_s, lambda: respond(None, b"")))
             else:
@@ -651,7 +676,10 @@
             self.scheduled.append((self.now + after_s, arrive))
 
     def _record_owner_change(self) -> None:
-        """When the only block changes hands, a new tenure begins with its record's stamp."""
+        """Record the token of a new owner of the only shard: the revision of its record.
+
+        Nothing is recorded while there is no shard or more than one.
+        """
         shards = [
             entry for key, entry in self.state.entries.items() if key.startswith("live/block/")
         ]
@@ -664,7 +692,10 @@
             self.fencing_tokens.append(stamp)
 
     def is_confirmed(self, reported: int, answered: int) -> bool:
-        """Whether a machine that reported with one token may get tasks under another."""
+        """Return whether a machine that reported one token may be sent tasks under another.
+
+        It may once it has reported a token of the owner that the second token belongs to.
+        """
         return reported >= max(stamp for stamp in self.fencing_tokens if stamp <= answered)
 
     def _execute_transaction(self, call: HttpCall) -> None:
@@ -678,24 +709,24 @@
         self.state.requests += 1
         until = self.now + int(args["hold_ms"]) / 1000
 
-        def look() -> None:
+        def poll_changes() -> None:
             if self.is_partitioned(label, "state"):
                 self.scheduled.append((self.now + call.timeout_s, lambda: respond(None, b"")))
                 return
-            away = self.state.down or label in self.refused_controllers
-            if away and self.now < until:
-                self.scheduled.append((self.now + self.step_s, look))
+            unavailable = self.state.down or label in self.refused_controllers
+            if unavailable and self.now < until:
+                self.scheduled.append((self.now + self.step_s, poll_changes))
                 return
-            if away:
+            if unavailable:
                 respond(503, b"")
                 return
             events = self.state.events_after(args["under"], int(args["after"]))
             if events["news"] or self.now >= until:
                 respond(200, _json(events))
             else:
-                self.scheduled.append((self.now + self.step_s, look))
+                self.scheduled.append((self.now + self.step_s, poll_changes))
 
-        self.scheduled.append((self.now + self.step_s + self.state_delay_s, look))
+        self.scheduled.append((self.now + self.step_s + self.state_delay_s, poll_changes))
 
     def _send_direct_command(
         self, label: str, call: HttpCall, respond: Callable[[int | None, bytes], None]
@@ -703,12 +734,12 @@
         worker = self.workers_by_address.get(call.address)
         if worker is not None and worker.host not in self.workers:
             worker = None  # released
-        gone = (
+        unreachable = (
             worker is None
             or worker.hung
             or worker.host in self.response_loss_hosts | self.command_loss_hosts
         )
-        if worker is None or gone or self.is_partitioned(worker.host, label):
+        if worker is None or unreachable or self.is_partitioned(worker.host, label):
             self.scheduled.append((self.now + call.timeout_s, lambda: respond(None, b"")))
             return
         status, answer = worker.handle_direct_command(json.loads(call.body or b"{}"))
@@ -718,7 +749,7 @@
         self._handle_cloud_request(call, sender)
 
     def _is_in_use(self, host: str) -> bool:
-        """It has a task that the block's present holder has placed there."""
+        """Return whether the machine has a task placed by the shard's present owner."""
         worker = self.workers.get(host)
         return worker is not None and any(
             task["stage"] != "ended" and task["token"] >= self.fencing_tokens[-1] > 0
@@ -801,12 +832,14 @@
                 for worker in self.workers.values()
                 for name in worker.running_tasks()
             ):
-                self.violations.append(f"{self.now:.2f} {job_id} still runs after its cancel")
+                self.violations.append(
+                    f"{self.now:.2f} {job_id} still runs too long after it was cancelled"
+                )
         self._check_team_limits()
         assert not self.violations, self.violations
 
     def _check_team_limits(self) -> None:
-        """No team's tasks use more than its limit."""
+        """Check that no team's running tasks use more CPUs than its limit."""
         for limited in self.facts.get("teams", TEAMS):
             cpus_max = limited.get("cpus_max", 0.0)
             if not cpus_max:
@@ -819,7 +852,7 @@
                         used += spec["cpus"]
             if used > cpus_max + 1e-6:
                 self.violations.append(
-                    f"{self.now:.2f} {limited['name']} uses {used} of {cpus_max}"
+                    f"{self.now:.2f} team {limited['name']} uses {used} CPUs of at most {cpus_max}"
                 )
 
     def run(self, seconds: float) -> None:
@@ -831,7 +864,7 @@
             if met():
                 return
             self.step()
-        assert met(), f"not within {within_s} s"
+        assert met(), f"condition not met within {within_s} s"
 
     def running_tasks(self, name: str = "") -> list[str]:
         return [p for w in self.workers.values() for p in w.running_tasks() if p.startswith(name)]
