--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -1,8 +1,8 @@
 """Tests of combined failures: one for each combination that users name.
 
-docs/meetings.md lists the combinations. The cluster of `tests/simulated_cluster.py` checks the
-rules at every step and fails the test for a task on two machines, an exceeded limit, a task that
-starts in a wrong place, or a task of a cancelled job that goes on running.
+docs/combined-failures.md lists the combinations. The cluster of `tests/simulated_cluster.py` checks
+the rules at every step and fails the test for a task on two machines, an exceeded limit, a task
+that starts in a wrong place, or a task of a cancelled job that goes on running.
 """
 
 from __future__ import annotations
