--- a/tests/test_shard_record_pages.py
+++ b/tests/test_shard_record_pages.py
@@ -1,4 +1,4 @@
-"""Shard records in pages: what is written, and what is read of it."""
+"""Shard records in pages: which values are written, and what is read from them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     MAX_PAGE_MACHINES,
     MAX_SINGLE_VALUE_MACHINES,
 )
-from fallpulley.shared_records.machine_encoding import EntryCache
+from fallpulley.shared_records.machine_encoding import EntryCache, without_addresses
 from fallpulley.shared_records.record_update import update_record
 from fallpulley.shared_records.registry import Registry
 from fallpulley.shared_records.shard_change import RecordLimits, RecordUpdate, ShardChange
@@ -27,7 +27,7 @@
     encode_page,
 )
 
-SMALL = RecordLimits(True, True, 1945, 4)  # values of 2 KiB, the smallest transactions
+SMALL = RecordLimits(True, True, 1945, 4)  # for values of 2 KiB and the smallest transactions
 
 TINY = RecordLimits(True, True, 400, 4)
 
@@ -52,7 +52,7 @@
         return self.registry.shards["b"][0]
 
     def apply(self, update: RecordUpdate, backwards: bool = False) -> None:
-        """One transaction, read in either order; until all of it has come nothing changes."""
+        """Apply one transaction in either order; the shard changes only when all of it is read."""
         assert len(update.changes) <= self.limits.max_changes
         self.revision += 1
         before = self.registry.shards["b"]
@@ -84,7 +84,7 @@
 
 
 def fleet(first: int, count: int, irregular: bool = False) -> dict[str, MachineEntry]:
-    """`irregular`: ids and addresses that follow no pattern."""
+    """Return machines by id; irregular ones have ids and addresses without a pattern."""
     generator = random.Random(first)
     machines = {}
     for index in range(first, first + count):
@@ -97,20 +97,20 @@
 
 
 @pytest.mark.parametrize("irregular", [False, True])
-def test_six_thousand_machines_under_the_smallest_values_and_transactions(irregular: bool) -> None:
-    """In one value there was room for 700 whose ids follow a pattern, and for 50 of others."""
+def test_thousands_of_machines_fit_the_smallest_values_and_transactions(irregular: bool) -> None:
+    """A single value held only 700 machines whose ids follow a pattern, or 50 others."""
     count = 1200 if irregular else 6000
     machines = fleet(1, count, irregular)
     stored = Stored(SMALL)
     stored.add_all(machines)
     assert stored.record.machines == machines
     assert stored.largest <= SMALL.max_value_bytes
-    # The flag of one machine writes the record and one page, whatever the fleet's size.
+    # Flagging one machine writes the header and at most two pages, whatever the fleet's size.
     writes = stored.writes
     machine_id = next(iter(machines))
     stored.update(ShardChange(occupancy={machine_id: True}), backwards=True)
     assert stored.writes - writes <= 3 and stored.record.machines[machine_id].occupied
-    # A failover writes the record alone.
+    # A failover writes only the header.
     changed = msgspec.structs.replace(stored.record, owner="node-1", incarnation="other")
     value = changed.encode(True, SMALL.max_value_bytes)
     stored.revision += 1
@@ -134,7 +134,7 @@
     assert stored.record.machines == machines | fleet(9000, 5)
 
 
-def test_a_small_fleet_has_one_value_and_a_shrunken_one_again() -> None:
+def test_small_fleet_has_a_single_value_and_a_shrunken_one_has_it_again() -> None:
     stored = Stored(SMALL)
     stored.add_all(fleet(1, 200))
     assert not stored.record.pages
@@ -142,8 +142,8 @@
     assert stored.record.pages
     machine_ids = sorted(stored.record.machines)
     while len(stored.record.machines) > MAX_MERGED_MACHINES // 2:
-        left = [machine_id for machine_id in machine_ids if machine_id in stored.record.machines]
-        update = stored.update(ShardChange(remove=left[MAX_MERGED_MACHINES // 2 :]))
+        present = [machine_id for machine_id in machine_ids if machine_id in stored.record.machines]
+        update = stored.update(ShardChange(remove=present[MAX_MERGED_MACHINES // 2 :]))
         assert update.removed or update.only_changes_layout
     stored.update(ShardChange())
     assert (
@@ -187,8 +187,52 @@
         expected = dict(stored.record.machines)
 
 
+def paged_without_addresses() -> tuple[Stored, dict[str, str]]:
+    """Return 2000 machines stored without addresses, and irregular addresses to add.
+
+    They fill 4 pages, of which an update under these limits rewrites one and splits it once.
+    """
+    stored = Stored(RecordLimits(True, True, 1945, 3))
+    machines = fleet(1, 2000)
+    stored.add_all(without_addresses(machines))
+    assert len(stored.record.pages) == 4
+    generator = random.Random(1)
+    addresses = {
+        machine_id: ".".join(str(generator.randrange(250)) for _ in range(4))
+        + f":{generator.randrange(1000, 9999)}"
+        for machine_id in machines
+    }
+    return stored, addresses
+
+
+def test_no_machine_is_in_two_pages_when_the_lower_half_of_a_split_page_is_too_large() -> None:
+    """The page was kept unchanged, but its upper half was also written to a new page.
+
+    A later removal then reported machines as removed that remained in the other page.
+    """
+    stored, addresses = paged_without_addresses()
+    page_ids = sorted(stored.record.pages[0].machines)
+    lower_half = page_ids[: len(page_ids) // 2]
+    lower_addresses = {machine_id: addresses[machine_id] for machine_id in lower_half}
+    stored.update(ShardChange(occupancy={page_ids[0]: True}, addresses=lower_addresses))
+    stored_ids = [
+        machine_id for page in stored.record.pages.values() for machine_id in page.machines
+    ]
+    assert len(stored_ids) == len(set(stored_ids))
+    update = stored.update(ShardChange(remove=page_ids[-1:]))
+    assert not set(update.removed) & set(stored.record.machines)
+
+
+def test_no_machine_is_lost_when_the_upper_half_of_a_split_page_is_too_large() -> None:
+    """The new page of the upper half was dropped, though the rewritten page no longer had it."""
+    stored, addresses = paged_without_addresses()
+    machine_ids = set(stored.record.machines)
+    stored.update(ShardChange(occupancy={min(machine_ids): True}, addresses=addresses))
+    assert set(stored.record.machines) == machine_ids
+
+
 def test_pages_and_headers_of_different_revisions_are_never_mixed() -> None:
-    """Responses of a listing may lie a change apart: the header is new, a page still old."""
+    """Responses of one listing may be a change apart, with a new header and an old page."""
     stored = Stored(SMALL)
     stored.add_all(fleet(1, 3000))
     older = dict(stored.record.machines)
@@ -200,7 +244,7 @@
         reader.on_key_changed(key, value, stored.revision)
     header = update.changes[0]
     reader.on_key_changed(header.key, header.value, stored.revision + 1)
-    assert "b" not in reader.shards  # a page of the older revision is not the new header's
+    assert "b" not in reader.shards  # a page of the older revision does not match the new header
     for change in update.changes[1:]:
         assert "b" not in reader.shards
         reader.on_key_changed(change.key, change.value, stored.revision + 1)
@@ -211,7 +255,7 @@
     return [(page_key("b", number), encode_page(page)) for number, page in record.pages.items()]
 
 
-def test_an_older_reader_finds_no_shard_in_a_pages_key() -> None:
+def test_older_version_reads_no_shard_from_the_keys_of_pages() -> None:
     """The version in production reads every key under `live/block/` as a shard."""
     stored = Stored(SMALL)
     stored.add_all(fleet(1, 3000))
@@ -222,8 +266,8 @@
     assert decode_shard(update.changes[0].value or b"").machines == {}
 
 
-def test_entries_of_a_fleet_above_the_caches_minimum_size_are_kept() -> None:
-    """Read over in the same order, a cache of fixed size held none of a fleet just above it."""
+def test_cache_keeps_all_entries_of_a_fleet_above_its_minimum_size() -> None:
+    """A fixed-size cache kept no entry of a slightly larger fleet read in the same order."""
     cache = EntryCache(100)
     cache.ensure_size(150)
     traits = ("box", "a", False, False)
