--- a/tests/loopback/measure_scale.py
+++ b/tests/loopback/measure_scale.py
@@ -50,7 +50,7 @@
         self.took = histogram()
 
     def measure(self, label: str | None) -> HdrHistogram:
-        """Measure this controller from now on, none if None; return what was measured so far."""
+        """Return the response times so far; from now on measure this controller (None: no one)."""
         took, self.took = self.took, histogram()
         self.label = label
         return took
@@ -77,7 +77,7 @@
 
 
 class Scale:
-    """Measures one size of fleet."""
+    """Runs the measurements for one size of fleet."""
 
     def __init__(self, deployment: Deployment, steady_s: float) -> None:
         self.deployment = deployment
@@ -93,9 +93,9 @@
         return found
 
     def _all_reported_with(self, token: int) -> Callable[[], bool]:
-        """Return a condition: every machine has reported with the token, or was released.
+        """Return a condition that holds once all machines reported with the token or were released.
 
-        A machine is no longer checked once it has.
+        A machine that has done so is not checked again.
         """
         remaining = list(self.cluster.workers.values())
 
@@ -110,7 +110,7 @@
         return met
 
     async def measure_steady_load(self) -> None:
-        """Print the cost to the first shard's owner of a time without failures."""
+        """Print what the first shard's owner uses while nothing fails, and its response times."""
         owner = str(self.deployment.owner())
         pid = self.deployment.processes[owner].pid
         self.probe.measure(owner)
--- a/tests/loopback/measure_shares.py
+++ b/tests/loopback/measure_shares.py
@@ -29,9 +29,10 @@
 TASK_S = 5.0
 LOOKUP_INTERVAL_S = 2.0
 CONVERGENCE_TIMEOUT_S = 120.0
-# Interval of the other team's jobs that are like the flood's: they need a quarter of the fleet.
+# Interval in seconds of the other team's jobs with `--alike`, which have the size of the flood's
+# jobs: they need a quarter of the fleet.
 ALIKE_INTERVAL_S = 10.0
-FIRST_LOOKUP_NUMBER = 500_000  # number of the other team's first job
+FIRST_LOOKUP_NUMBER = 500_000  # number in the id of the other team's first job
 
 
 async def set_shares(deployment: Deployment, shares: dict[str, Share]) -> SharesResponse:
--- a/tests/loopback/measure_takeover.py
+++ b/tests/loopback/measure_takeover.py
@@ -26,7 +26,7 @@
 TASKS_PER_JOB = 2000
 # Number of tasks that are kept waiting for each machine.
 WAITING_TASKS = 4
-MIN_STEADY_S = 4.0  # between a takeover and the next one
+MIN_STEADY_S = 4.0  # least time between a takeover and the next one
 STATUS = re.compile(r"replication status shard=\S+ token=(\d+) entries=(\d+) bytes=(\d+)")
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
--- a/tests/loopback/simulated_services.py
+++ b/tests/loopback/simulated_services.py
@@ -67,7 +67,10 @@
         return host
 
     def task_duration_s(self, task_id: str) -> float:
-        """Vary a job's task durations by half, so that they end one by one; the same on retry."""
+        """Return the task's duration, varied by up to half so that a job's tasks end one by one.
+
+        It depends on the task alone: it is the same on whichever machine the task runs.
+        """
         return super().task_duration_s(task_id) * random.Random(task_id).uniform(0.5, 1.5)
 
     # -- workers ---------------------------------------------------------------------------
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -328,7 +328,8 @@
         runs = [command["piece"] for command in reply["orders"] if command["verb"] == "run"]
         if runs and not self.cluster.is_confirmed(self.reported_token, reply["baton"]):
             self.cluster.violations.append(
-                f"{self.cluster.now:.2f} {runs} sent to {self.host} by an unconfirmed owner"
+                f"{self.cluster.now:.2f} {runs} sent to {self.host}"
+                " before it reported a token of the owner"
             )
         if runs:
             self.cluster.run_responses.append(
@@ -692,9 +693,11 @@
             self.fencing_tokens.append(stamp)
 
     def is_confirmed(self, reported: int, answered: int) -> bool:
-        """Return whether a machine that reported one token may be sent tasks under another.
+        """Return whether a machine that reported one token may get tasks under another.
 
-        It may once it has reported a token of the owner that the second token belongs to.
+        `reported` is the highest token that the machine has reported, `answered` the token of the
+        response that has the tasks. The machine may get them if `reported` belongs to the owner of
+        `answered` or to a later one.
         """
         return reported >= max(stamp for stamp in self.fencing_tokens if stamp <= answered)
 
--- a/tests/test_combined_failures.py
+++ b/tests/test_combined_failures.py
@@ -81,8 +81,8 @@
     cluster.run_until(lambda: all(cluster.job_state(uid) == "done" for uid in uids[2:]), 60.0)
 
 
-def test_refused_leader_applies_cancellations_announced_by_its_peers() -> None:
-    """Announcements only speed up cancellations: the response window guarantees them without.
+def test_refused_leader_applies_announced_cancellations_and_starts_no_task() -> None:
+    """Announcements by peers only speed up cancellations: the response window guarantees them.
 
     If the refused leader added the job again from its old copy of the job's record, the job would
     run on until the window ends.
@@ -251,8 +251,8 @@
     """The owner cleared the occupancy flag of a silent machine, and the write got no answer.
 
     The machine came back, and the write that set the flag again conflicted, because the first one
-    had been carried out. Judged by an older copy of the record, the flag was taken for set, and the
-    next owner would have taken the machine for empty.
+    had been carried out. Judged by an older copy of the record, the flag was taken for set, so that
+    run commands could be sent. The next owner would have taken the machine for empty.
     """
     cluster = ready_cluster(1)
     cluster.capacity = 1
@@ -395,7 +395,7 @@
     cancel_job(cluster, other_controllers(old)[0], uid)
     cluster.run_until(lambda: cluster.workers[host].fencing_token > fencing_token, 20.0)
     # Its heartbeats arrive, but from now on nothing reaches it: its tasks count towards the limit
-    # for a lease.
+    # until its lease has expired.
     cluster.response_loss_hosts.add(host)
     cluster.command_loss_hosts.add(host)
     cluster.run(2.0)
@@ -425,7 +425,10 @@
 
 
 def test_cancelled_tasks_end_and_old_leader_answers_503_when_it_is_isolated() -> None:
-    """The old leader reaches workers and users, but neither its peers nor the state service."""
+    """The old leader reaches workers and users, but neither its peers nor the state service.
+
+    The new leader confirms the cancellation meanwhile.
+    """
     cluster, uid = busy_cluster(4, 300.0)
     old = cluster.owner()
     cluster.partitions.update((old, other) for other in [*other_controllers(old), "state"])
@@ -521,8 +524,8 @@
 def test_old_heartbeats_during_leader_change_prove_nothing_and_hide_no_task() -> None:
     """The heartbeats are from before the tasks started, and no controller reaches their machines.
 
-    They must neither prove the machines empty nor hide a task. A third machine has room for all of
-    the tasks.
+    Every running controller gets them while a new leader takes over. They must neither prove the
+    machines empty nor hide a task. A third machine has room for all of the tasks.
     """
     cluster = ready_cluster(3)
     cluster.capacity = 3
@@ -576,6 +579,7 @@
 
 
 def test_job_completes_when_heartbeats_of_earlier_agent_epochs_arrive_late() -> None:
+    """They report earlier attempts of the tasks, and arrive after newer heartbeats."""
     cluster, uid = busy_cluster(6, 8.0)
     host = next(iter(cluster.workers))
     earlier_heartbeats = list(cluster.sent_heartbeats[host])
@@ -610,12 +614,12 @@
     assert cluster.job_state(uid) == "done"
 
 
-def test_heartbeat_that_arrives_after_a_newer_do_response_still_gets_its_stops() -> None:
-    """The response renews the lease: without the stops, a cancelled task could run on under it."""
+def test_heartbeat_that_arrives_after_newer_response_to_do_gets_stop_commands() -> None:
+    """The response renews the lease: without stops in it, a cancelled task could run on."""
     cluster, uid = busy_cluster(4, 300.0)
     shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     for host, machine in shard.machines.items():
-        # As if newer responses to `/do` had arrived before all of its heartbeats.
+        # As if a response to `/do` had arrived that is newer than its next 60 heartbeats.
         machine.heartbeat.sequence += 60
         cluster.command_loss_hosts.add(host)
     cancel_job(cluster, "node-1", uid)
@@ -642,6 +646,7 @@
 
 @pytest.mark.parametrize("moment_s", [0.0, 0.05, 0.1, 0.3])
 def test_cancellation_at_the_end_of_the_last_tasks_gives_one_final_state(moment_s: float) -> None:
+    """A query and a repeated submission come at the same time, each at another controller."""
     cluster, uid = busy_cluster(4, 5.0)
     cluster.run_until(lambda: len(cluster.running_tasks(uid)) < 4, 20.0)
     cluster.run(moment_s)
@@ -656,7 +661,7 @@
     assert job_states(cluster, uid) == {reported_state} == {cluster.job_state(uid)}
 
 
-def test_tasks_that_end_far_apart_start_once_across_a_leader_change() -> None:
+def test_few_tasks_that_end_far_apart_start_once_across_a_leader_change() -> None:
     cluster = ready_cluster(2)
     cluster.capacity = 2
     uid = submit_job(cluster, 1, pieces=3)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -75,7 +75,7 @@
 
 
 def check_records(cluster: SimulatedCluster) -> list[tuple[int, Intent]]:
-    """Return every intent after the revision at which it was recorded, oldest first.
+    """Return every intent with the revision at which it was recorded, oldest first.
 
     Each must have been recorded under the token that its duty had then.
     """
@@ -252,8 +252,10 @@
 
 
 def test_release_of_an_unreconciled_machine_is_refused_after_its_shard_moves() -> None:
-    """The duty keeps its owner while the shard moves to another controller, which uses the machine
-    by the time the write of the intent takes effect."""
+    """The duty keeps its owner while the shard moves to another controller.
+
+    That controller uses the machine by the time the write of the intent takes effect.
+    """
     cluster = cluster_with_duties(6, 6, idle_boots=50.0)
     long = submit_job(cluster, 1, pieces=8)
     cluster.task_durations_s[long] = 10.0
@@ -340,8 +342,10 @@
 
 @pytest.mark.parametrize("number", range(10))
 def test_no_action_of_a_replaced_owner_takes_effect_under_random_failures(number: int) -> None:
-    """Controllers crash, pause and are cut off, the cloud acts late, transactions get no response,
-    machines are unreachable for a while."""
+    """Controllers crash, pause and are cut off; machines are unreachable for a while.
+
+    The cloud acts late, and transactions get no response.
+    """
     rng = random.Random(number)
     cluster = cluster_with_duties(3, 8, idle_boots=1.0)
     uids = []
--- a/tests/test_fault_tolerance.py
+++ b/tests/test_fault_tolerance.py
@@ -151,7 +151,7 @@
     assert {host for _, _, host in cluster.task_starts} == {reached}
     shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
     missed = shard.attempt_numbers.issued - len(cluster.task_starts)
-    assert missed <= 2  # the commands of one response, and none of a further one
+    assert missed <= 2  # the run commands of a single response were lost
     for n in range(10, 30):
         submit_job(cluster, n, pieces=2)
         cluster.run(1.5)
@@ -174,8 +174,8 @@
     cluster.run_until(lambda: cluster.job_state(uid) == "done", 120.0)
 
 
-def test_machine_without_responses_is_reconciled_after_takeover_by_its_lease() -> None:
-    """Every response might renew its lease: answered again and again, it was never proved empty.
+def test_machine_without_responses_is_reconciled_after_takeover_by_lease_expiry() -> None:
+    """As every response might renew its lease, a machine that got many was never proved empty.
 
     The cloud is down here, so that only the expiry of the lease can prove it.
     """
@@ -215,7 +215,7 @@
 # -- late copies of messages -------------------------------------------------------------------
 
 
-def test_late_copies_of_heartbeat_do_not_extend_lease_of_dead_machine() -> None:
+def test_late_copies_of_heartbeat_do_not_extend_lease_or_bring_machine_online() -> None:
     cluster, uid = busy_cluster(4, 15.0)
     dead = next(iter(cluster.workers))
     running = cluster.sent_heartbeats[dead][-1]
@@ -229,7 +229,7 @@
     cluster.run_until(lambda: cluster.job_state(uid) == "done", 90.0)
 
 
-def test_heartbeat_copy_from_before_takeover_neither_fences_nor_proves_empty() -> None:
+def test_heartbeat_copy_from_before_takeover_neither_fences_nor_reconciles_machine() -> None:
     cluster = ready_cluster(2)
     cluster.capacity = 2
     uid = submit_job(cluster, 1, pieces=4)
@@ -463,7 +463,7 @@
 
 
 def test_unchanged_heartbeats_cause_no_new_snapshot() -> None:
-    """Hundreds of machines send heartbeats every few seconds: only changes may cause work."""
+    """Hundreds of machines report every few seconds: only changes may cause snapshots and plans."""
     cluster, uid = busy_cluster(4, 60.0, expect_s=60.0)
     cluster.run(3.0)
     shard = next(iter(cluster.controllers[cluster.owner()].components.owned_shards.shards.values()))
--- a/tests/test_jobs_and_takeovers.py
+++ b/tests/test_jobs_and_takeovers.py
@@ -428,7 +428,7 @@
         cluster.run_until(lambda uid=uid: cluster.job_state(uid) == "done", 300.0)
     shards_of_jobs = {cluster.state.entries[f"live/job/{uid}"][0]["block"] for uid in more}
     assert len(shards_of_jobs) >= 2  # each job stayed in the shard that it was accepted into
-    # No machine is in two records.
+    # Idle machines move between the shards, but none is in two records.
     hosts = [host for record in cluster.shards().values() for host in machines_in_record(record)]
     assert len(hosts) == len(set(hosts))
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -122,7 +122,7 @@
 
 
 def test_move_improves_only_if_both_shards_together_come_closer_to_their_targets() -> None:
-    """A shard without a share gives up its last machine, though each destination lacks half."""
+    """A shard without a share gives up its last machine; each other shard lacks half of it."""
     found = plan_moves({"a": 32.0, "b": 32.0, "c": 8.0}, {"a": 36.0, "b": 36.0, "c": 0.0})
     assert all(move.source == "c" and move.improves(8.0) for move in found)
     assert not any(
@@ -240,7 +240,7 @@
 def test_shards_without_a_share_table_are_shown_with_owner_and_without_target(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards against a target of 0 beside `converged`, and against tables that name no owners."""
+    """Such shards were shown as `converged` with a target of 0, and tables named no owners."""
     cluster = SimulatedCluster(4, operators=SHARES_ENABLED)
     cluster.capacity = 4
     cluster.run_until(lambda: bool(cluster.shards()), 8.0)
@@ -433,7 +433,10 @@
 
 
 def test_records_near_their_size_limit_take_no_more_machines_than_fit() -> None:
-    """Addresses without a pattern fill the records, and the announced lower limits take effect."""
+    """Random addresses make the records large, and the announced lower limits take effect.
+
+    Records store machines compactly only if their addresses follow from their ids.
+    """
     limits = {"rps": 200.0, "write_rps": 90.0, "value_kb": 16.0, "txn_ops": 16}
     cluster = SimulatedCluster(
         0, operators=SHARES_ENABLED, state=limits | {"next": {"value_kb": 1.0, "txn_ops": 8}}
@@ -547,8 +550,11 @@
 @settings(max_examples=10, deadline=None)
 @given(number=st.integers(0, 2**32))
 def test_share_changes_under_load_and_random_failures_lose_no_job(number: int) -> None:
-    """Shares change every few seconds. Controllers crash, pause and are cut off from the state
-    service; transactions are late or get no response; one team has a limit."""
+    """Shares change every few seconds, and one team has a limit.
+
+    Controllers crash, pause and are cut off from the state service; transactions are late or get no
+    response.
+    """
     rng = random.Random(number)
     cluster = cluster_with_shares(EVEN, machines=9)
     jobs: list[str] = []
@@ -647,6 +653,7 @@
 
 
 def test_policy_obeys_interval_and_hysteresis_and_is_disabled_by_a_failure() -> None:
+    """After a failure, or an evaluation that takes too long, the last good shares stay."""
     policy = Policy(SharesSettings(True, WEIGHTS_BY_LOAD, 30.0))
     table = ShareTable(1, {"node-0": Share(1.0, 8.0), "node-1": Share(1.0)})
     # The difference is too small.
@@ -663,6 +670,7 @@
 
 
 def test_leader_applies_the_policy_and_machines_move(caplog: pytest.LogCaptureFixture) -> None:
+    """All controllers have the policy; the leader alone applies it."""
     caplog.set_level("INFO")
     policy = "{'node-0': 1.0, 'node-1': load['node-1'] > 5.0 ? 3.0 : 1.0}"
     cluster = cluster_with_shares(
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -129,8 +129,10 @@
 @settings(max_examples=60, deadline=None)
 @given(number=st.integers(0, 2**32), loss=st.floats(0.0, 0.6))
 def test_follower_reaches_the_owners_state_over_unreliable_links(number: int, loss: float) -> None:
-    """Messages are lost, duplicated, late and out of order; the log drops its oldest entries; the
-    follower restarts; a replaced owner keeps sending throughout."""
+    """Messages are lost, duplicated, late and out of order; a replaced owner keeps sending.
+
+    Meanwhile the log drops its oldest entries and the follower restarts.
+    """
     rng = random.Random(number)
     stream, state = stream_with_state("block", token=20, max_log_entries=12)
     replaced_stream, _ = stream_with_state("block", token=10, max_log_entries=12)
@@ -298,9 +300,11 @@
 def test_confirmed_machine_gets_work_in_time_after_the_owner_fails(
     frozen: bool,
 ) -> None:
-    """The simulated cluster checks that no machine gets work before it has reported under the new
-    token. With a frozen owner, each worker first has to time out and call another controller: the
-    machines are confirmed within the same bound, but the first placement may be later."""
+    """With a frozen owner, each worker first has to time out and call another controller.
+
+    The machines are then confirmed within the same bound, but the first placement may be later. The
+    simulated cluster checks that no machine gets work before it has reported under the new token.
+    """
     cluster = standby_cluster(machines=4)
     earlier_jobs = [submit_job(cluster, n, pieces=2) for n in range(1, 4)]
     cluster.run(2.0)
@@ -363,9 +367,11 @@
 
 @pytest.mark.parametrize("moment_s", [0.1, 0.3, 0.5, 0.7, 0.9, 1.1])
 def test_unreplicated_tasks_are_neither_started_twice_nor_lost(moment_s: float) -> None:
-    """The owner's link to its followers is cut before it places tasks, and it crashes at a moment
-    when the tasks are assigned but not sent, sent but not acknowledged, or sent but never
-    replicated."""
+    """The owner's link to its followers is cut before it places tasks; then it crashes.
+
+    At that moment the tasks are assigned but not sent, sent but not acknowledged, or sent but never
+    replicated.
+    """
     cluster = standby_cluster()
     old = cluster.owner()
     cluster.peer_message_delays = lambda one, other, body: [] if one == old else [0.0]
@@ -389,7 +395,8 @@
     )
     job = submit_job(cluster, 1, pieces=8)
     cluster.run(6.0)
-    # As if the owner's last message had told the stale follower how far the other one is.
+    # As if the owner's last message had told the stale follower the last entry that each follower
+    # has acknowledged.
     stream = next(iter(standby_of(cluster.controllers[old]).streams.values()))
     followed = standby_of(cluster.controllers[stale]).follower.shards[stream.shard.shard_id]
     followed.positions = {
@@ -408,8 +415,11 @@
 def test_restarted_follower_gets_a_replica_soon_and_does_not_lead_before(
     moment_s: float,
 ) -> None:
-    """In 22 of 30 takeovers on loopback, a controller without a replica took over: the owner asked
-    it for its position too rarely, and it claimed the leadership as fast as any other."""
+    """In 22 of 30 takeovers on loopback, a controller without a replica took over.
+
+    The owner asked it for its position too rarely, and it claimed the leadership as fast as any
+    other.
+    """
     cluster = standby_cluster()
     job = submit_job(cluster, 1, pieces=20)
     old = cluster.owner()
@@ -531,8 +541,11 @@
 def test_random_failures_start_no_task_twice_and_lose_no_job(
     number: int,
 ) -> None:
-    """Controllers crash and pause; messages are lost and reordered. The simulated cluster checks
-    that no task runs on two machines and that no unconfirmed machine gets work."""
+    """Controllers crash and pause; messages are lost and reordered.
+
+    The simulated cluster checks that no task runs on two machines and that no unconfirmed machine
+    gets work.
+    """
     rng = random.Random(number)
     cluster = standby_cluster(machines=4)
     loss = rng.choice([0.0, 0.2, 0.7])
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -53,7 +53,7 @@
 
 
 class Question(msgspec.Struct):
-    """`Request` with other names of class and fields; `Reply` and `Outgoing` are so as well."""
+    """`Request` under other names, as `Reply` is `SendResponse` and `Outgoing` is `HttpCall`."""
 
     asker: Any
     verb: str
@@ -81,7 +81,7 @@
 
 
 def new_pending_response() -> Any:
-    """Return a callable that stands for one request, as the controller gets with it."""
+    """Return a callable like the one that a controller gets with each request."""
     return functools.partial(print)
 
 
@@ -241,7 +241,7 @@
         assert any(hasattr(owner, name) for owner in owners for name in known), attribute
 
 
-def test_corruption_leaves_requests_and_unanswered_calls_unchanged() -> None:
+def test_corrupting_a_batch_leaves_requests_and_unanswered_calls_unchanged() -> None:
     corruption = Corruption(random.Random(1), 1.0)
     for _ in range(50):
         kept = [
--- a/tests/traces/adapter.py
+++ b/tests/traces/adapter.py
@@ -1,4 +1,4 @@
-"""The simulated cluster as scenarios use it, independent of its names in the sources played."""
+"""The simulated cluster as scenarios use it, whichever names the played sources give its parts."""
 
 from __future__ import annotations
 
--- a/tests/traces/names.py
+++ b/tests/traces/names.py
@@ -20,9 +20,9 @@
 
 # Attribute used -> the names that it may have.
 ATTRIBUTES: dict[str, tuple[str, ...]] = {
-    # of Controller
+    # attributes of Controller
     "step": ("step",),
-    # of SimulatedCluster: time and parts
+    # attributes of SimulatedCluster: time and parts
     "now": ("now",),
     "step_s": ("step_s",),
     "start_controller": ("start_controller", "boot"),
@@ -35,7 +35,7 @@
     "state": ("state",),
     "capacity": ("capacity",),
     "controller_starts": ("controller_starts", "boots"),
-    # of SimulatedCluster: failures
+    # attributes of SimulatedCluster: failures
     "paused_controllers": ("paused_controllers", "paused"),
     "partitions": ("partitions", "cut"),
     "refused_controllers": ("refused_controllers", "refused"),
@@ -50,14 +50,14 @@
     "wall_clock_offsets_s": ("wall_clock_offsets_s", "wall_ahead"),
     "clock_rates": ("clock_rates", "clock_rate"),
     "peer_message_delays": ("peer_message_delays", "link"),
-    # of SimulatedCluster: jobs and heartbeats
+    # attributes of SimulatedCluster: jobs and heartbeats
     "task_durations_s": ("task_durations_s", "times"),
     "sent_heartbeats": ("sent_heartbeats", "sent"),
     "submissions": ("submissions", "specs"),
-    # of a worker
+    # attributes of a worker
     "hung": ("hung",),
     "preemption_notice_s": ("preemption_notice_s", "recall_s"),
-    # of the state service
+    # attributes of the state service
     "down": ("down",),
     "entries": ("entries", "data"),
     "revision": ("revision", "ledger"),
--- a/tests/traces/scenarios.py
+++ b/tests/traces/scenarios.py
@@ -423,7 +423,10 @@
         return shares
 
     def change(self) -> None:
-        """Send a change of shares, sometimes twice, or expecting an outdated or future revision."""
+        """Send a change of shares, sometimes twice, each time to a random controller.
+
+        Some changes expect a random revision, which may be outdated or not exist yet.
+        """
         self.operations += 1
         body: dict[str, Any] = {
             "shares": self.random_shares(),
