--- a/tests/loopback/deployment.py
+++ b/tests/loopback/deployment.py
@@ -109,12 +109,12 @@
         (home / "node.toml").write_text(text)
         (home / "fallpulley.toml").write_text(operators)
 
-    def start(self, label: str) -> None:
-        """Start a controller; its log is appended to its file."""
+    def start(self, label: str, root: pathlib.Path = ROOT) -> None:
+        """Start a controller with the sources under `root`; its log is appended to its file."""
         with open(self.log_file(label), "ab") as log:
             self.processes[label] = subprocess.Popen(
                 [sys.executable, "run.py", "--config", str(self.folder / label / "node.toml")],
-                cwd=ROOT,
+                cwd=root,
                 stderr=log,
                 env=os.environ | {"LOG_LEVEL": "info"},
             )
@@ -161,14 +161,16 @@
     operators: str,
     report_s: float = 1.0,
     sockets: int = 2000,
+    root: pathlib.Path = ROOT,
 ) -> AsyncIterator[Deployment]:
-    """A deployment whose controllers are up and whose machines report."""
+    """A deployment whose controllers, of the sources under `root`, are up and whose machines
+    report."""
     deployment = Deployment(folder, machines, lease_s, operators, report_s, sockets)
     async with anyio.create_task_group() as tasks:
         await deployment.world.serve(tasks)
         try:
             for label in LABELS:
-                deployment.start(label)
+                deployment.start(label, root)
             world = deployment.world
             await deployment.until(lambda: bool(world.blocks()), 30.0, "a block is held")
             await deployment.until(
