--- a/tests/loopback/deployment.py
+++ b/tests/loopback/deployment.py
@@ -113,12 +113,12 @@
         (home / "node.toml").write_text(text)
         (home / "fallpulley.toml").write_text(operators)
 
-    def start(self, label: str) -> None:
-        """Start a controller; its log is appended to its file."""
+    def start(self, label: str, root: pathlib.Path = ROOT) -> None:
+        """Start a controller with the sources under `root`; its log is appended to its file."""
         with open(self.log_file(label), "ab") as log:
             self.processes[label] = subprocess.Popen(
                 [sys.executable, "run.py", "--config", str(self.folder / label / "node.toml")],
-                cwd=ROOT,
+                cwd=root,
                 stderr=log,
                 env=os.environ | {"LOG_LEVEL": "info"},
             )
@@ -169,14 +169,15 @@
     operators: str,
     report_s: float = 1.0,
     sockets: int = 2000,
+    root: pathlib.Path = ROOT,
 ) -> AsyncIterator[Deployment]:
-    """Run a deployment; yield it once all of its machines have a fencing token."""
+    """Run a deployment of the sources under `root`; yield it once all machines have a token."""
     deployment = Deployment(folder, machines, lease_s, operators, report_s, sockets)
     async with anyio.create_task_group() as tasks:
         await deployment.cluster.serve(tasks)
         try:
             for label in CONTROLLER_LABELS:
-                deployment.start(label)
+                deployment.start(label, root)
             cluster = deployment.cluster
             await deployment.wait_until(
                 lambda: bool(cluster.shards()), 30.0, "a shard has an owner"
