--- a/fallpulley/extensions.py
+++ b/fallpulley/extensions.py
@@ -33,7 +33,7 @@
     # -- events ----------------------------------------------------------------------------
 
     def watches(self, key: str) -> bool:
-        """Whether the extension wants to be told of changes to the record under `key`."""
+        """Return whether changes of the record under `key` are passed to this extension."""
         return False
 
     def on_key_changed(self, key: str, value: bytes | None, mod_revision: int) -> None:
--- a/fallpulley/fleet/action_guard.py
+++ b/fallpulley/fleet/action_guard.py
@@ -8,7 +8,7 @@
 
 
 class ActionGuard(Protocol):
-    """Permits or holds back actions on machines.
+    """Permits or defers actions on machines.
 
     The machine provider asks it before each action, and notifies it when the cloud has carried out
     or refused a rental, or carried out a release.
--- a/fallpulley/fleet/adoption.py
+++ b/fallpulley/fleet/adoption.py
@@ -46,7 +46,7 @@
         self._term_began_at = float("-inf")
 
     def begin_term(self) -> None:
-        """Note that this controller has become the leader."""
+        """Record that this controller has become the leader."""
         self._term_began_at = self.context.now
 
     def adopt(self, machine_id: str, entry: MachineEntry) -> bool:
--- a/fallpulley/fleet/autoscaler.py
+++ b/fallpulley/fleet/autoscaler.py
@@ -25,8 +25,8 @@
 # and each sizing goes through all machines.
 SIZING_TIME_SHARE_AFTER_RESPONSE = 1 / 5
 
-# How long after a failover a shard's work is not known yet, in heartbeat intervals: its machines
-# report their tasks with their next heartbeats.
+# Time after a failover until the new owner knows which tasks still have to run, in heartbeat
+# intervals, if no machine is unreconciled: machines report their tasks with their next heartbeats.
 WORK_UNKNOWN_HEARTBEATS = 1.5
 
 # Largest number of machines if the settings have no `machines_max`.
--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -11,7 +11,7 @@
 from fallpulley.workers.machine import Machine
 
 # How long the response to a machine with room waits for the next plan, in heartbeat intervals.
-# Without the wait, room that a task had just left stayed idle until the next heartbeat.
+# Without the wait, resources that a task had just freed stayed idle until the next heartbeat.
 DEFER_INTERVALS = 0.25
 
 
--- a/fallpulley/heartbeats/handler.py
+++ b/fallpulley/heartbeats/handler.py
@@ -121,8 +121,8 @@
             or machine.heartbeat.record_and_check_stale(heartbeat)
         ):
             # Either this controller's copy of the records is out of date, and another owner has
-            # reached the machine with a higher token. Or the heartbeat is a late copy, and the
-            # response to it must not count as one that renews the machine's lease.
+            # reached the machine with a higher token. Or the heartbeat is delayed or a duplicate:
+            # a response to it must not be recorded as one that may have renewed the lease.
             self.responder.respond_unavailable(pending_response)
             return
         self._apply(pending_response, heartbeat, agent, machine)
@@ -178,7 +178,7 @@
         if self.writer.is_being_added(heartbeat.machine_id):
             return True
         if heartbeat.machine_id not in self.provider.listed_machines:
-            # The heartbeat may be a late copy from a machine that was released long ago.
+            # The heartbeat may be a delayed one, of a machine that was released long ago.
             return False
         return self.provider.adopt(
             heartbeat.machine_id,
--- a/fallpulley/membership/format_agreement.py
+++ b/fallpulley/membership/format_agreement.py
@@ -54,8 +54,9 @@
     def _agreed_format(self) -> int:
         """Return the newest format that every controller has been seen to know.
 
-        The present format stays while a controller is missing from the settings or has not been
-        seen: it could come up with a process that does not know the newer one.
+        The present format stays while the settings list fewer controllers than the deployment has,
+        or while one of them has not been seen: it may start with a version that does not know the
+        newer format.
         """
         current = self._context.record_format.number
         if len(self._controller_ids) < self._context.settings.facts.nodes:
--- a/fallpulley/membership/leader_election.py
+++ b/fallpulley/membership/leader_election.py
@@ -17,7 +17,7 @@
     """The decisions about elections that extensions make."""
 
     def leader_claim_delay_s(self) -> float:
-        """Return how long to leave a vacant leadership to other controllers, in seconds."""
+        """Return how long to wait before claiming a vacant leadership, in seconds."""
 
 
 class LeaderElection:
--- a/fallpulley/mesh/messages.py
+++ b/fallpulley/mesh/messages.py
@@ -32,7 +32,7 @@
 
 
 class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
-    """A controller's sign of life, with the age of its watch cache and its jobs' task counts."""
+    """A controller's heartbeat, with the age of its watch cache and its jobs' task counts."""
 
     controller_id: str
     incarnation: str
--- a/fallpulley/mesh/peers.py
+++ b/fallpulley/mesh/peers.py
@@ -141,11 +141,11 @@
     def is_watch_cache_stale(self, fresh_at: float) -> bool:
         """Return whether this controller's watch cache is stale compared to that of a live peer.
 
-        It is if the peer reached the state service more than `STALE_SECONDS` after `fresh_at`,
-        when this controller last did (monotonic clock, in seconds). The peer's time is that of the
-        arrival of its last heartbeat, less the staleness which that heartbeat states. The age of
-        the heartbeat must count: in an outage of the service all controllers' caches become stale
-        together, although the peers' last heartbeats state the staleness of some seconds ago.
+        `fresh_at` is when this controller last reached the state service, in seconds of the
+        monotonic clock. The cache is stale if a live peer reached it more than `STALE_SECONDS`
+        later: at the arrival of the peer's last heartbeat, minus the staleness stated in it.
+        Comparing the two stalenesses would be wrong: in an outage of the service all caches become
+        stale together, but the peers' last heartbeats state the staleness of some seconds ago.
         """
         stale_before = fresh_at + STALE_SECONDS
         return any(
--- a/fallpulley/mesh/task_counts.py
+++ b/fallpulley/mesh/task_counts.py
@@ -13,7 +13,7 @@
 class TaskCountRotation:
     """Selects changed counts first, and fills the rest of a heartbeat with the others in rotation.
 
-    By the rotation, a controller that has just started receives all counts in the end.
+    Because of the rotation, a controller that has just started receives all counts over time.
     """
 
     def __init__(self, max_entries: int = MAX_TASK_COUNTS) -> None:
--- a/fallpulley/persistence/job_persistence.py
+++ b/fallpulley/persistence/job_persistence.py
@@ -137,8 +137,8 @@
 
     def _on_completion_result(self, job: OpenJob, result: WriteResult) -> None:
         if result.conflicted and job.progress.mod_revisions:
-            # A late progress write may have changed a value. Leave the progress values in place, so
-            # that the next attempt is conditioned on the job's record alone.
+            # A delayed progress write may have changed one of the values to be deleted. The next
+            # attempt deletes none of them and is conditioned on the job's record alone.
             job.progress.mod_revisions.clear()
         if not result.committed:
             # If the write was applied after all, the watch delivers the new record.
@@ -179,7 +179,7 @@
         )
 
     def _reload_chunk(self, job: OpenJob, name: str) -> None:
-        """Read and merge a stored chunk that another write, perhaps a late own one, has changed."""
+        """Read and merge a stored chunk that another write, perhaps a delayed one, has changed."""
         progress = job.progress
         progress.write_pending = True
 
--- a/fallpulley/placement/machine_pool.py
+++ b/fallpulley/placement/machine_pool.py
@@ -7,9 +7,9 @@
 from fallpulley.placement.snapshot import MachineSnapshot
 from fallpulley.resources import Resources
 
-# Finish times are compared in units of this share of the run-time estimate (finish units), and cost
-# decides between equal ones: machines of one type differ by up to a tenth in speed, so that smaller
-# differences mean nothing.
+# Length of a finish unit, as a share of the run-time estimate. Finish times are rounded to finish
+# units before they are compared, and cost decides between equal ones: machines of one type differ
+# by up to a tenth in speed, so that smaller differences mean nothing.
 EQUAL_FINISH_SHARE = 0.1
 # Exception 1 (to MOWS, see `fallpulley.placement`): a task waits for resources that are still in
 # use only if that lets it finish earlier by this share of its run-time estimate. When they become
@@ -147,8 +147,8 @@
     def by_next_change(self, excluded: set[int], allow_spot: bool) -> list[NextChange]:
         """Return the machines that are not excluded, sorted by when their free resources change.
 
-        Machines with too little room for the job are included beside the full ones, because they
-        have no more before their next change. Jobs that may not use spot machines get only the
+        Machines that have room, but too little for the job, are included with the full ones: they
+        have no more room before their next change. Jobs that may not use spot machines get only the
         others, which are a tenth of some fleets. The caller must not change the list.
         """
         profiles, snapshots = self._profiles, self.snapshots
--- a/fallpulley/placement/plan.py
+++ b/fallpulley/placement/plan.py
@@ -95,7 +95,7 @@
             self.note_unbooked(job, job.task_count)
 
     def note_unbooked(self, job: PendingJob, count: int) -> None:
-        """Note for an urgent job that `count` of its tasks got no booking at all."""
+        """Record for an urgent job that `count` of its tasks got no booking at all."""
         if job.urgent and count > 0:
             self.plan.future_starts.setdefault(job.job_id, []).extend([math.inf] * count)
 
--- a/fallpulley/placement/victims.py
+++ b/fallpulley/placement/victims.py
@@ -98,7 +98,7 @@
         )
 
     def make_room(self) -> bool:
-        """Make room for one more task on the cheapest machine; return whether there was one."""
+        """Make room for one more task where it costs least; return False if no machine is left."""
         if not self.options:
             return False
         option = heapq.heappop(self.options)
--- a/fallpulley/scheduling/age_bound.py
+++ b/fallpulley/scheduling/age_bound.py
@@ -16,8 +16,9 @@
 # The share of a starved job's tasks that are placed before all other jobs: enough to start the job
 # and to learn its run times, too few to delay the others.
 FIRST_TASKS_SHARE = 0.05
-# The share of the longest `wait` objective of a class after which a job of it is late. Only few
-# tasks may miss that objective, and shortest-first leaves long jobs to the end of every backlog.
+# A job is late once it has waited for this share of the longest `wait` objective of its class. Only
+# few tasks may miss that objective, and shortest-first leaves long jobs to the end of every
+# backlog.
 LATE_START_SHARE = 0.6
 # The largest share of the fleet's processors that late jobs may need to be placed first. Where more
 # jobs are late, placing them by age would make the short jobs miss the objective too.
--- a/fallpulley/scheduling/planner.py
+++ b/fallpulley/scheduling/planner.py
@@ -8,15 +8,16 @@
 from fallpulley.shards.agent import ShardAgent
 from fallpulley.shared_records.registry import Registry
 
-# The wait before the next plan, as a multiple of the duration of the last one: planning takes about
-# a twentieth of the time. The wait is limited to MAX_WAIT_INTERVALS heartbeat intervals, since free
-# resources stay idle meanwhile, but not below the second multiple: planning takes at most a fifth.
+# The wait before the next plan, as multiples of the duration of the last one. With the first one,
+# planning takes about a twentieth of the time. The wait is limited to MAX_WAIT_INTERVALS heartbeat
+# intervals, since free resources stay idle during it, but it is never shorter than the second
+# multiple, with which planning takes a fifth of the time.
 WAIT_PER_PLAN_TIME, MIN_WAIT_PER_PLAN_TIME = 20.0, 4.0
 MAX_WAIT_INTERVALS = 0.15
 # The least wait in heartbeat intervals: changes that arrive during it are planned together.
 MIN_WAIT_INTERVALS = 1.0 / 20.0
-# All shards are planned at least once in this many heartbeat intervals, since estimated ends of
-# tasks pass also while no event arrives.
+# All shards are planned at least once in this many heartbeat intervals, even if no event arrives:
+# running tasks pass their estimated ends meanwhile, which changes the plan.
 REPLAN_INTERVALS = 1.0
 # A machine whose next heartbeat is due within this share of an interval is not asked for one.
 PROMPT_INTERVALS = 0.25
--- a/fallpulley/scheduling/preemption.py
+++ b/fallpulley/scheduling/preemption.py
@@ -22,13 +22,13 @@
 # Estimated delay from a stop to the start of the urgent task in its place: this share of a
 # heartbeat interval, plus the seconds that a stopped task needs to exit.
 STOP_HEARTBEAT_INTERVALS, STOP_SECONDS = 0.5, 1.0
-# The share of the time within which a class's tasks should start that they may wait for resources;
+# How long urgent tasks may wait for resources, as a share of the `wait` objective of their class:
 # the rest is for the stop, the next heartbeat and the image fetch.
 MAX_ROOM_WAIT_SHARE = 0.25
 # The expected time since a task's last checkpoint, as a share of its checkpoint interval.
 CHECKPOINT_LOSS_SHARE = 0.5
-# Lower bounds for a task's lost seconds and its processors: with zero, a loss would count as
-# nothing or a division would fail.
+# Lower bounds of a task's lost seconds and of its processors: with zero lost seconds, a stop would
+# count as free of cost; with zero processors, a division would fail.
 MIN_LOST_SECONDS, MIN_CPUS = 0.1, 0.1
 
 
--- a/fallpulley/scheduling/team_limits.py
+++ b/fallpulley/scheduling/team_limits.py
@@ -28,7 +28,10 @@
         self._limited_teams = {name: team for name, team in teams.items() if team.limited}
 
     def must_wait(self, job: OpenJob) -> bool:
-        """Return whether the job must wait: unknown tasks may have used up its team's limit."""
+        """Return whether the job must wait until the usage of its team is known.
+
+        It must if the team has a limit: tasks that are not known yet may have used it up.
+        """
         return job.spec.team in self._limited_teams and not self._usage_known
 
     def apply(self, jobs: list[PendingJob]) -> None:
--- a/fallpulley/shards/attempt_numbers.py
+++ b/fallpulley/shards/attempt_numbers.py
@@ -12,8 +12,9 @@
 class AttemptNumbers:
     """Issues the attempt numbers of one owner of a shard.
 
-    Counts up from the revision at which the shard was acquired, and continues from a newer one
-    before the counter is used up: thousands of machines start a few million tasks within hours.
+    Numbers begin with the revision at which the shard was acquired. Before the counter is used up,
+    they continue with a newer revision of the shard's record and a new counter: thousands of
+    machines start a few million tasks within hours.
     """
 
     def __init__(self, acquired_revision: int, counter_bits: int = COUNTER_BITS) -> None:
--- a/fallpulley/shards/direct_commands.py
+++ b/fallpulley/shards/direct_commands.py
@@ -45,9 +45,9 @@
     def prompt_heartbeat(self, machine: Machine) -> None:
         """Make a machine with a booked task send a heartbeat now.
 
-        This raises the machine's fencing token, a change that a worker reports by a heartbeat at
-        once. Does nothing if the machine was prompted less than half a lease ago, if its address
-        is unknown, or if its token cannot be raised further.
+        This raises the machine's fencing token: a worker that receives a higher token sends a
+        heartbeat at once. Does nothing if the machine was prompted less than half a lease ago, if
+        its address is unknown, or if its token cannot be raised further.
         """
         now = self.context.now
         interval_s = PROMPT_INTERVAL_LEASES * self.context.timing.lease_s
--- a/fallpulley/shards/lease_expiry.py
+++ b/fallpulley/shards/lease_expiry.py
@@ -87,8 +87,9 @@
     def _confirm_empty(self, until: float) -> None:
         """Mark unreconciled machines as holding no tasks if their leases have expired.
 
-        Previous owners respond to no machine any more. This owner's responses renew leases too,
-        even of machines that have not reported its token since.
+        Must be called only once all leases that previous owners renewed have expired. A response of
+        this owner may have renewed a lease too, even if the machine has not reported its token, so
+        the lease counts from the last response.
         """
         lease_expiry_s = self.context.timing.lease_expiry_s
         empty = {
--- a/fallpulley/shards/occupancy.py
+++ b/fallpulley/shards/occupancy.py
@@ -26,7 +26,7 @@
         self._next_start: dict[str, int] = {}
 
     def update_all(self, shard: Shard) -> None:
-        """Compare all machines, or the next ones in turn of a large shard.
+        """Compare all machines; of a large shard, the next `MAX_COMPARED_MACHINES` in rotation.
 
         Each machine has to be compared from time to time, because whether it may hold tasks can
         change by the passing of time alone.
--- a/fallpulley/shards/shard.py
+++ b/fallpulley/shards/shard.py
@@ -147,7 +147,7 @@
     def has_unknown_tasks(self) -> bool:
         """Return whether a machine has a task that is not an attempt known to this owner.
 
-        Most likely its job has ended, so no record tells what it takes, or for which team.
+        Most likely its job has ended, so that its resources and its team are no longer recorded.
         """
         return any(
             status.state is not _EXITED and task_id not in machine.runs
--- a/fallpulley/shards/token_check.py
+++ b/fallpulley/shards/token_check.py
@@ -27,8 +27,8 @@
         """Apply the token in a heartbeat; return whether the rest of it may be applied.
 
         It may once the machine has reported a token of this owner. Until then, the heartbeat may be
-        a late copy from before this controller owned the machine, which shows neither that a lease
-        was renewed nor what the machine holds now.
+        a delayed one, sent before this controller owned the machine. It then shows neither that a
+        lease was renewed nor which tasks the machine holds now.
         """
         self._check_token(machine, heartbeat)
         if machine.fencing.token_confirmed:
@@ -41,9 +41,9 @@
     def require_new_token(self, machine: Machine) -> None:
         """Give a machine no tasks until it reports a token that only this owner can have sent it.
 
-        For a machine whose heartbeats arrive although a start command did not take effect. The
-        heartbeats alone confirm neither that responses reach the machine nor that its lease goes
-        on.
+        To be called if the machine's heartbeats arrive although a start command had no effect. The
+        heartbeats alone confirm neither that responses reach the machine nor that its lease is
+        renewed.
         """
         log.info(
             "start command had no effect; no tasks until a newer token is reported machine=%s",
--- a/fallpulley/shared_records/machine_encoding.py
+++ b/fallpulley/shared_records/machine_encoding.py
@@ -145,7 +145,7 @@
 # Cached because a shard's owner, which alone encodes its pages, encodes the same few repeatedly.
 @lru_cache(maxsize=4096)
 def _run_position(machine_id: str, address: str) -> _RunPosition | None:
-    """Return which run describes a machine; None if none can."""
+    """Return a machine's run and its number there; None if no `_Run` can describe the machine."""
     numbered = _NUMBERED_ID.fullmatch(machine_id)
     if numbered is None:
         return None
--- a/fallpulley/standby/follower.py
+++ b/fallpulley/standby/follower.py
@@ -94,8 +94,8 @@
     def lag(self, followed: FollowedShard) -> int:
         """Return the number of entries that the replica lacks.
 
-        Without a replica it lacks all entries, counted with one more: the result is positive even
-        if the owner's log is still empty.
+        Without a replica it lacks all entries. One is added to their number, so that the result is
+        positive even if the owner's log is still empty.
         """
         if followed.replica is None:
             return followed.owner_last_number + 1
--- a/fallpulley/standby/service.py
+++ b/fallpulley/standby/service.py
@@ -33,12 +33,13 @@
 # Processor time that sending takes per payload byte, in core-seconds: measured on simulated
 # controllers and rounded up (docs/standby.md).
 CORE_SECONDS_PER_BYTE = 4e-8
-# How long a controller leaves the leadership to others with newer replicas, as a share of a
-# session.
+# How long a controller lets others with newer replicas claim a vacant leadership before it claims
+# it itself, as a share of a session.
 CLAIM_DELAY_SESSIONS = 0.15
 # Time between two checks for messages that are due, in batch intervals.
 CHECK_INTERVAL_BATCHES = 0.25
-# Time after which a replica that is behind is logged, once, in batch intervals.
+# A replica that has been behind for more than this many batch intervals is logged as lagging, once
+# until it has caught up.
 LAG_LOG_BATCHES = 10.0
 # Time between two log lines on the status of a stream, in batch intervals.
 STATUS_INTERVAL_BATCHES = 60.0
@@ -204,7 +205,7 @@
     # -- leadership ------------------------------------------------------------------------
 
     def leader_claim_delay_s(self) -> float:
-        """Return how long to leave a vacant leadership to others with newer replicas, in seconds.
+        """Return how long to let others with newer replicas claim the leadership, in seconds.
 
         After that time this controller claims the leadership even if those others have sessions.
         """
--- a/fallpulley/state/client.py
+++ b/fallpulley/state/client.py
@@ -255,7 +255,7 @@
     def _on_rate_limited(self) -> None:
         """Slow down after status 429.
 
-        Either other controllers used more than their shares, or the future limits hold now.
+        Either other controllers used more than their shares, or announced limits came into force.
         """
         if self._future_rates is not None:
             self._adopt_future_rates(*self._future_rates)
--- a/fallpulley/state/current_reads.py
+++ b/fallpulley/state/current_reads.py
@@ -17,7 +17,7 @@
 
 
 class _Waiter(NamedTuple):
-    """A handler that waits for a read to be sent after its arrival."""
+    """A handler that waits for a read that is sent after the handler was added."""
 
     on_current: CurrentHandler
     expires_at: float  # monotonic clock, in seconds
@@ -27,7 +27,7 @@
     """Sends one read at a time; each serves all handlers that waited when it was started."""
 
     def __init__(self, client: StateClient, on_response: Callable[[Response], bool]) -> None:
-        """Create it without waiting handlers.
+        """Create an instance without waiting handlers.
 
         Args:
             client: sends the reads.
--- a/fallpulley/state/paged_load.py
+++ b/fallpulley/state/paged_load.py
@@ -25,7 +25,7 @@
         on_loaded: Callable[[set[str], int], None],
         on_failed: Callable[[float], None],
     ) -> None:
-        """Create it without starting a load.
+        """Create an instance without starting a load.
 
         Args:
             client: sends the requests.
--- a/fallpulley/wire/adaptive_limit.py
+++ b/fallpulley/wire/adaptive_limit.py
@@ -9,7 +9,7 @@
 import math
 
 # Mean response times of up to this many times the best time are acceptable: a response that waits
-# for a current read takes up to two reads, and the machine's share of a core comes in slices.
+# for a current read takes up to two reads, and the controller gets its share of a core in slices.
 TOLERATED_SLOWDOWN = 6.0
 # Mean response times up to this are acceptable, whatever the best time: a quarter of the 2 s that
 # users wait for a response. Responses from memory take 20 ms. Without this bound, while the state
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -31,7 +31,8 @@
 BUSY_ERROR = b'{"error":"busy"}'
 # Value of the Retry-After header of a refused request.
 RETRY_AFTER_SECONDS = 1.0
-# Connections that may wait to be accepted; more where the server may have more sockets.
+# Lower bound of the number of connections that may wait to be accepted; it is `max_connections` if
+# that is larger.
 MIN_BACKLOG = 512
 
 
@@ -50,9 +51,9 @@
     # closed after their response. A machine that gets no connection loses its lease and all its
     # tasks, while a user connects again through the load balancer.
     capacity_share: float = 0.85
-    # For this time after a new connection needed a socket and no user's connection was idle,
-    # machines' connections are closed after their response, too, while the server is at capacity:
-    # there are more machines than sockets.
+    # How long machines' connections, too, are closed after their responses while the server is at
+    # capacity. The time starts whenever a new connection needs a socket and no user's connection is
+    # idle: there are more machines than sockets then.
     close_machines_s: float = 60.0
 
 
--- a/fallpulley/workers/heartbeat_changes.py
+++ b/fallpulley/workers/heartbeat_changes.py
@@ -70,7 +70,8 @@
 
     A worker does so when its lease expires. If its heartbeats have arrived all the time, or no
     heartbeat acknowledged the last start command, the lease expired because this owner's responses
-    did not reach the worker. On a fenced machine, that counts as a missed start.
+    did not reach the worker. If the machine had confirmed this owner's token, that counts as a
+    missed start.
     """
     responses_missed = machine.heartbeat.online or machine.heartbeat.start_unacknowledged
     changes.start_missed = responses_missed and machine.fencing.token_confirmed
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -17,7 +17,7 @@
 )
 from fallpulley.workers.messages import Heartbeat, TaskState, TaskStatus
 
-# A machine with fewer free processors counts as full: the room is not worth a planning run.
+# A machine with fewer free processors counts as full: so few are not worth a planning run.
 MIN_FREE_CPUS = 0.5
 
 
--- a/fallpulley/workers/machine_state.py
+++ b/fallpulley/workers/machine_state.py
@@ -24,6 +24,7 @@
 MIN_RUN_TIME_RATIO = 0.2
 MAX_RUN_TIME_RATIO = 8.0
 
+# A time before all others: of events that have not occurred, and of waits that have long ended.
 NEVER = float("-inf")
 
 
@@ -54,7 +55,7 @@
     def record_and_check_stale(self, heartbeat: Heartbeat) -> bool:
         """Record the heartbeat's version; return whether one as new or newer was received before.
 
-        A heartbeat that was overtaken only by the response to a direct command is no stale copy:
+        A heartbeat that was overtaken only by the response to a direct command is not stale:
         its worker is waiting for the response.
         """
         if heartbeat.version <= self.newest_received_version:
