--- a/fallpulley/cloud/messages.py
+++ b/fallpulley/cloud/messages.py
@@ -13,7 +13,7 @@
 MAX_RELEASED_MACHINES = 100
 MAX_RENTED_MACHINES = 50
 
-# The `ListedMachine.state` of a machine that has stopped for good. No other state is used.
+# The `ListedMachine.state` of a machine that has stopped permanently. No other state is used.
 FAILED_STATE = "failed"
 
 # Assumed boot time of a machine whose type is not in the catalog.
--- a/fallpulley/controller/wiring.py
+++ b/fallpulley/controller/wiring.py
@@ -39,7 +39,7 @@
 WATCHES_PER_SESSION = 3.0
 # Share of this controller's budget of requests to the state service that watches may use.
 WATCH_REQUEST_SHARE = 0.5
-# Minimum time between two watches, also where the budget allows more of them.
+# Minimum time between two watches, even if the budget allows more of them.
 MIN_WATCH_INTERVAL_SECONDS = 0.05
 
 
--- a/fallpulley/fleet/abandonment.py
+++ b/fallpulley/fleet/abandonment.py
@@ -45,7 +45,7 @@
     IDLE = "idle"
     UNACKNOWLEDGED = "unacknowledged"  # its heartbeats arrive, but responses do not reach it
     RELEASED = "released"  # the cloud has confirmed its release
-    FAILED = "failed"  # the cloud lists it as stopped for good
+    FAILED = "failed"  # the cloud lists it as stopped permanently
     OFFLINE = "offline"
     NEVER_ONLINE = "never-online"
     FAULTY = "faulty"  # several jobs failed on it, and few tasks completed
--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -31,7 +31,7 @@
     def __init__(self, context: ControllerContext, responder: HeartbeatResponder) -> None:
         self.context = context
         self.responder = responder
-        # Heartbeats that were checked and go on waiting, by rising deadline.
+        # Heartbeats that were checked and have to wait longer, by ascending deadline.
         self.waiting: list[DeferredHeartbeat] = []
         # Heartbeats added since `respond` was last called.
         self._arrived: list[DeferredHeartbeat] = []
--- a/fallpulley/membership/leadership.py
+++ b/fallpulley/membership/leadership.py
@@ -1,4 +1,4 @@
-"""The leader's duties, and the changes of shard owners that every controller makes."""
+"""The work of the leader, and the changes of shard owners that every controller makes."""
 
 from __future__ import annotations
 
--- a/fallpulley/mesh/messages.py
+++ b/fallpulley/mesh/messages.py
@@ -46,7 +46,7 @@
 class Cancellations(msgspec.Struct, tag="called_off", array_like=True):
     """Jobs whose cancellation is durable, sent immediately to the owner of their shard.
 
-    Without the message, an owner that cannot read the records would go on running the jobs until
+    Without the message, an owner that cannot read the records would continue to run the jobs until
     its response window ends.
     """
 
--- a/fallpulley/mesh/task_counts.py
+++ b/fallpulley/mesh/task_counts.py
@@ -19,7 +19,7 @@
     def __init__(self, max_entries: int = MAX_TASK_COUNTS) -> None:
         self.max_entries = max_entries
         self._last_sent: JobTaskCounts = {}
-        self._next_index = 0  # index of the job with which the rotation goes on
+        self._next_index = 0  # index of the job with which the rotation continues
 
     def next_entries(self, counts: JobTaskCounts) -> list[TaskCount]:
         """Return the entries for the next heartbeat, given the counts of all open jobs."""
--- a/fallpulley/shards/preemption_notice.py
+++ b/fallpulley/shards/preemption_notice.py
@@ -1,4 +1,4 @@
-"""Stops tasks on a spot machine that the cloud is about to take, in time to save their work."""
+"""Stops tasks on a spot machine that the cloud is about to preempt, in time to save their work."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from fallpulley.shards.shard import Shard
 from fallpulley.workers.machine import Machine
 
-# A task is not stopped if it is expected to end at least this long before the cloud takes the
+# A task is not stopped if it is expected to end at least this long before the cloud preempts the
 # machine.
 FINISH_MARGIN_SECONDS = 1.0
 # Time for a stop command to reach the machine, in heartbeat intervals. It is added to the time that
--- a/fallpulley/timing.py
+++ b/fallpulley/timing.py
@@ -21,7 +21,7 @@
 
     heartbeat_interval_s: float  # time between two heartbeats of a worker
     lease_s: float  # duration of a worker's lease
-    # How long an owner that has lost the state service goes on responding to its machines.
+    # How long an owner that cannot reach the state service continues to respond to its machines.
     response_window_s: float
     session_s: float  # duration of a controller's session from its last renewal
     # Time from a response to a worker until the lease that it renewed has certainly expired.
--- a/fallpulley/wire/server.py
+++ b/fallpulley/wire/server.py
@@ -407,7 +407,7 @@
 
         A machine whose connection is closed opens a new one for its next heartbeat, some seconds
         later. Without this, in a fleet with more machines than there are sockets, the machines that
-        connected last were refused for good.
+        connected last were always refused.
 
         Returns:
             Whether there was an idle connection.
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -73,7 +73,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether it can get tasks: it is online, commands reach it and nothing takes it away.
+        """Whether it can get tasks: it is online, commands reach it and it is not about to leave.
 
         A draining machine is usable as well, although no new tasks are placed on it.
         """
