--- a/fallpulley/heartbeats/deferral.py
+++ b/fallpulley/heartbeats/deferral.py
@@ -11,7 +11,7 @@
 from fallpulley.workers.machine import Machine
 
 # How long the response to a machine with room waits for the next plan, in heartbeat intervals.
-# Without the wait, room that a task had just left stayed idle until the next heartbeat.
+# Without the wait, resources that a task had just freed stayed idle until the next heartbeat.
 DEFER_INTERVALS = 0.25
 
 
@@ -31,7 +31,7 @@
     def __init__(self, context: ControllerContext, responder: HeartbeatResponder) -> None:
         self.context = context
         self.responder = responder
-        # Heartbeats that were checked and go on waiting, by rising deadline.
+        # Heartbeats that were checked and have to wait longer, by ascending deadline.
         self.waiting: list[DeferredHeartbeat] = []
         # Heartbeats added since `respond` was last called.
         self._arrived: list[DeferredHeartbeat] = []
--- a/fallpulley/mesh/messages.py
+++ b/fallpulley/mesh/messages.py
@@ -32,7 +32,7 @@
 
 
 class PeerHeartbeat(msgspec.Struct, tag="beat", array_like=True):
-    """A controller's sign of life, with the age of its watch cache and its jobs' task counts."""
+    """A controller's heartbeat, with the age of its watch cache and its jobs' task counts."""
 
     controller_id: str
     incarnation: str
@@ -46,7 +46,7 @@
 class Cancellations(msgspec.Struct, tag="called_off", array_like=True):
     """Jobs whose cancellation is durable, sent immediately to the owner of their shard.
 
-    Without the message, an owner that cannot read the records would go on running the jobs until
+    Without the message, an owner that cannot read the records would continue to run the jobs until
     its response window ends.
     """
 
--- a/fallpulley/workers/machine.py
+++ b/fallpulley/workers/machine.py
@@ -17,7 +17,7 @@
 )
 from fallpulley.workers.messages import Heartbeat, TaskState, TaskStatus
 
-# A machine with fewer free processors counts as full: the room is not worth a planning run.
+# A machine with fewer free processors counts as full: so few are not worth a planning run.
 MIN_FREE_CPUS = 0.5
 
 
@@ -73,7 +73,7 @@
 
     @property
     def usable(self) -> bool:
-        """Whether it can get tasks: it is online, commands reach it and nothing takes it away.
+        """Whether it can get tasks: it is online, commands reach it and it is not about to leave.
 
         A draining machine is usable as well, although no new tasks are placed on it.
         """
