--- a/fallpulley/jobs/__init__.py
+++ b/fallpulley/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: users' requests about them, their records and dependencies, and open jobs' progress."""
+"""Job requests from users, job records, dependencies between jobs, and progress of open jobs."""
--- a/fallpulley/jobs/admission.py
+++ b/fallpulley/jobs/admission.py
@@ -1,4 +1,7 @@
-"""Users' submissions: idempotent, so that a repeat gets the state of the job accepted before."""
+"""Acceptance of jobs that users submit.
+
+Submissions are idempotent: the response to a repeated one is the state of the accepted job.
+"""
 
 from __future__ import annotations
 
@@ -18,13 +21,13 @@
     JobStatus,
     Submission,
     SubmissionError,
-    job_id_of,
+    decode_job_id,
     parse_submission,
 )
 from fallpulley.jobs.queries import JobQueries
 from fallpulley.jobs.responses import NOT_DECIDED, JobResponder
 from fallpulley.jobs.shard_choice import ShardChooser
-from fallpulley.jobs.validation import why_never_runs
+from fallpulley.jobs.validation import rejection_reason
 from fallpulley.records.keys import TEAM_PREFIX
 from fallpulley.records.messages import TeamShard
 from fallpulley.records.registry import Registry
@@ -36,7 +39,7 @@
 
 
 class JobAdmission:
-    """Handles `POST /work`: validates a submission, chooses its shard, writes its record."""
+    """Handles `POST /work`: validates a submission, chooses a shard and writes the job's record."""
 
     def __init__(
         self,
@@ -59,12 +62,12 @@
         self.responder = responder
 
     def submit(self, pending_response: PendingResponse, body: bytes) -> None:
-        """Accept a submission, or respond with the state of the job if it was accepted before."""
+        """Accept a job, or respond with its state if it was accepted before, or with an error."""
         try:
             spec = parse_submission(body)
         except SubmissionError as error:
             log.info("submission malformed reason=%s", error)
-            self._reject_malformed(pending_response, job_id_of(body), str(error))
+            self._reject_malformed(pending_response, decode_job_id(body), str(error))
             return
         if spec.job_id in self.index.entries:
             self.queries.query(pending_response, spec.job_id)
@@ -73,14 +76,14 @@
             self.responder.send_unavailable(pending_response, "machine types not known yet")
             return
         team, machine_types = self.teams.get(spec.team), self.registry.machine_types.values()
-        reason = why_never_runs(spec, team, machine_types)
+        reason = rejection_reason(spec, team, machine_types)
         if reason is not None:
             self._reject_unless_accepted(
                 pending_response, spec.job_id, HTTPStatus.UNPROCESSABLE_ENTITY, reason
             )
             return
         if spec.depends_on and not self.context.record_format.compact:
-            # An older controller would start it at once.
+            # A controller of an older version would start the job without regard to dependencies.
             self.responder.send_unavailable(
                 pending_response, "not every controller knows pipelines yet"
             )
@@ -102,8 +105,11 @@
     def _reject_unless_accepted(
         self, pending_response: PendingResponse, job_id: str, http_status: int, reason: str
     ) -> None:
-        """An accepted job never gets 400 or 422, whatever a repeat of it holds."""
-        self.responder.when_current(
+        """Respond with an error, or with the job's state if it was accepted before.
+
+        An accepted job never gets 400 or 422, whatever a repeated submission of it contains.
+        """
+        self.responder.respond_when_current(
             pending_response,
             job_id,
             lambda: self.responder.send_error(pending_response, http_status, reason),
@@ -114,7 +120,7 @@
     def _accept_with_dependencies(
         self, pending_response: PendingResponse, spec: Submission
     ) -> None:
-        """Accept the job if all jobs that it depends on were accepted, here or elsewhere."""
+        """Accept a job if all its dependencies were accepted, by this controller or another."""
         if self._dependencies_accepted(spec):
             self._accept(pending_response, spec)
             return
@@ -129,13 +135,13 @@
                     "awaits a job that was never accepted",
                 )
 
-        self.responder.when_current(pending_response, spec.job_id, on_missing)
+        self.responder.respond_when_current(pending_response, spec.job_id, on_missing)
 
     def _dependencies_accepted(self, spec: Submission) -> bool:
         return all(job_id in self.index.entries for job_id in spec.depends_on or ())
 
     def _accept(self, pending_response: PendingResponse, spec: Submission) -> None:
-        """Choose a shard for the job, and write its record."""
+        """Choose a shard for the job and write the job's record."""
         shard_id = self.shard_chooser.choose(spec)
         if shard_id is None:
             self.responder.send_unavailable(pending_response, "no block open yet")
@@ -152,7 +158,10 @@
         self._write_acceptance(pending_response, spec, shard_id, value)
 
     def _without_done_dependencies(self, spec: Submission) -> Submission:
-        """Done never goes back: what is done need not stand in the record."""
+        """Return the specification without dependencies that are done and without duplicates.
+
+        Since done is a final state, the record need not hold these.
+        """
         if spec.depends_on is None:
             return spec
         depends_on = [
@@ -165,9 +174,10 @@
     def _write_acceptance(
         self, pending_response: PendingResponse, spec: Submission, shard_id: str, value: bytes
     ) -> None:
-        """Write the job's record if there is none, and respond; for a limited team also its shard.
+        """Write the job's record unless it exists, and respond with the outcome.
 
-        Its jobs belong to one shard, which keeps its limit.
+        For a team with a limit, also write which shard has the team's jobs, unless it is stored:
+        all of them must belong to one shard, which enforces the limit.
         """
         key = JOB_PREFIX + spec.job_id
         conditions = {key: 0}
@@ -182,7 +192,7 @@
             if result.committed:
                 self._on_accepted(pending_response, spec, shard_id)
             elif result.conflicted:
-                # The record exists: accepted before, here or elsewhere.
+                # Usually the job's record exists: this controller or another accepted it before.
                 self._respond_after_conflict(pending_response, spec.job_id)
             else:
                 self.responder.send_unavailable(pending_response, "state service did not answer")
@@ -206,8 +216,8 @@
         )
 
     def _respond_after_conflict(self, pending_response: PendingResponse, job_id: str) -> None:
-        """Respond with the current state of the job that was accepted before."""
-        self.responder.when_current(
+        """Respond with the current state of the job if it was accepted before."""
+        self.responder.respond_when_current(
             pending_response,
             job_id,
             on_missing=lambda: self.responder.send_unavailable(pending_response, NOT_DECIDED),
--- a/fallpulley/jobs/cancellation.py
+++ b/fallpulley/jobs/cancellation.py
@@ -1,4 +1,4 @@
-"""Users' cancellations of jobs."""
+"""Cancellation of jobs by users."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-# So often a cancellation is decided anew after a conflicting write.
+# How often a cancellation is tried again after its write conflicted with another.
 MAX_CANCEL_RETRIES = 3
 
 
@@ -32,18 +32,18 @@
         self._newly_cancelled: list[str] = []
 
     def drain_newly_cancelled(self) -> list[str]:
-        """Jobs whose cancellation was made durable here since the last call."""
+        """Return the jobs whose cancellations this controller made durable since the last call."""
         newly_cancelled, self._newly_cancelled = self._newly_cancelled, []
         return newly_cancelled
 
     def cancel(self, pending_response: PendingResponse, job_id: str) -> None:
-        """Make the job's record say cancelled, unless it is final; respond with its state."""
+        """Write the cancellation of a job unless it has ended, and respond with its state."""
         if not JOB_ID.fullmatch(job_id):
             self.responder.send_no_such_job(pending_response)
             return
         entry = self.index.entries.get(job_id)
         if entry is not None and entry.state is JobState.OPEN:
-            # The write's own condition says whether this is still the newest state.
+            # No read is needed first: the write succeeds only if this is still the newest record.
             self._write_cancellation(pending_response, job_id, entry, MAX_CANCEL_RETRIES)
         else:
             self._cancel_when_current(pending_response, job_id, MAX_CANCEL_RETRIES)
@@ -51,12 +51,15 @@
     def _cancel_when_current(
         self, pending_response: PendingResponse, job_id: str, retries_left: int
     ) -> None:
-        """Decide by a final state in memory, else by a record read from now on."""
+        """Cancel a job after a read of the records that starts now.
+
+        No read is needed if the job is known to have ended.
+        """
         entry = self.index.entries.get(job_id)
         if entry is not None and entry.state in FINAL_STATES:
             self.responder.send_state(pending_response, job_id, entry)
             return
-        self.responder.when_current(
+        self.responder.respond_when_current(
             pending_response,
             job_id,
             on_missing=lambda: self.responder.send_no_such_job(pending_response),
--- a/fallpulley/jobs/completion.py
+++ b/fallpulley/jobs/completion.py
@@ -1,4 +1,10 @@
-"""Which tasks of a job are completed: a bitmap, its chunks as stored, and what of it is durable."""
+"""The completed tasks of a job: a bitmap, the chunks in which it is stored, and what is durable.
+
+A chunk is the part of the bitmap that one progress value in the state service holds. In the first
+record format (see `fallpulley.record_format`), a chunk's name is its number, and its size follows
+from the state service's limit on values. In newer formats, the name also holds the size:
+`<number>@<tasks>`.
+"""
 
 from __future__ import annotations
 
@@ -6,46 +12,60 @@
 import binascii
 from typing import NamedTuple
 
-# Of a value's room, the share a chunk of completion bits may take after base64.
-CHUNK_SHARE = 0.6
-# A chunk of the current format holds at least so many tasks.
-MIN_CHUNK_TASKS = 8
+# The share of a value's permitted size that a chunk may fill once it is encoded in base64.
+MAX_CHUNK_VALUE_SHARE = 0.6
+# The least number of tasks in a chunk: one byte of the bitmap.
+MIN_TASKS_PER_CHUNK = 8
 
 
 class ChunkName(NamedTuple):
-    """Which chunk of a job's bitmap a progress value holds, and of how many tasks."""
+    """The number of a chunk in a job's bitmap, from 0, and how many tasks each chunk covers."""
 
     number: int
-    tasks: int
+    tasks_per_chunk: int
 
 
 def chunk_tasks(value_kb: float) -> int:
-    """How many tasks' completion bits one progress value of `value_kb` holds."""
-    return max(MIN_CHUNK_TASKS, int(value_kb * 1024 * CHUNK_SHARE * 6) // 8 * 8)
+    """Return how many tasks a chunk covers if values may be `value_kb` KiB long.
+
+    Each base64 character holds the bits of 6 tasks. The result is a multiple of 8, so that a chunk
+    is a whole number of bytes.
+    """
+    return max(MIN_TASKS_PER_CHUNK, int(value_kb * 1024 * MAX_CHUNK_VALUE_SHARE * 6) // 8 * 8)
 
 
-def chunk_name(number: int, tasks: int, current_format: bool) -> str:
-    """The last part of a progress value's key.
+def chunk_name(number: int, tasks_per_chunk: int, compact: bool) -> str:
+    """Return the name of a chunk: the last part of the key of its progress value.
 
-    In the newer format with the chunk's size: a later limit of the state service would change it.
+    `compact`: whether to name it as the compact and later formats do, with the chunk's size. The
+    size must be stored because it depends on the state service's limits, which may change.
     """
-    return f"{number}@{tasks}" if current_format else str(number)
+    return f"{number}@{tasks_per_chunk}" if compact else str(number)
+
 
+def parse_chunk_name(name: str, first_format_tasks_per_chunk: int) -> ChunkName:
+    """Return the number and the size of the chunk that a valid chunk name stands for.
 
-def parse_chunk_name(name: str, first_format_tasks: int) -> ChunkName:
-    """Number and size of the chunk that a progress value's key names."""
-    number, at_sign, tasks = name.partition("@")
-    return ChunkName(int(number), int(tasks) if at_sign else first_format_tasks)
+    A name in the first format holds no size; the chunk then has `first_format_tasks_per_chunk`
+    tasks.
+    """
+    number, at_sign, tasks_per_chunk = name.partition("@")
+    return ChunkName(int(number), int(tasks_per_chunk) if at_sign else first_format_tasks_per_chunk)
 
 
 def is_chunk_name(name: str) -> bool:
-    """Whether the last part of a key names a chunk, in either format."""
-    number, at_sign, tasks = name.partition("@")
-    return number.isdigit() and (not at_sign or (tasks.isdigit() and int(tasks) >= MIN_CHUNK_TASKS))
+    """Return whether the last part of a key is a chunk name, in any format."""
+    number, at_sign, tasks_per_chunk = name.partition("@")
+    return number.isdigit() and (
+        not at_sign or (tasks_per_chunk.isdigit() and int(tasks_per_chunk) >= MIN_TASKS_PER_CHUNK)
+    )
 
 
 class CompletionBitmap:
-    """A bit for each task of a job, least significant first, and how many are set."""
+    """One bit for each task of a job, and the number of bits that are set.
+
+    The bit of the first task is the least significant bit of the first byte.
+    """
 
     __slots__ = ("bits", "count")
 
@@ -54,28 +74,30 @@
         self.count = 0
 
     def contains(self, index: int) -> bool:
-        """Whether the task's bit is set."""
+        """Return whether the task's bit is set."""
         return bool(self.bits[index >> 3] & (1 << (index & 7)))
 
     def add(self, index: int) -> None:
-        """Set the bit of a task whose bit is not set yet."""
+        """Set the bit of a task; it must not be set yet."""
         self.bits[index >> 3] |= 1 << (index & 7)
         self.count += 1
 
-    def chunk(self, number: int, tasks: int) -> bytes:
-        """The bytes of a chunk of `tasks` tasks; fewer at the end."""
-        size = tasks // 8
-        return bytes(self.bits[number * size : (number + 1) * size])
+    def chunk(self, number: int, tasks_per_chunk: int) -> bytes:
+        """Return the bytes of a chunk; the last chunk of a job may be shorter than the others."""
+        chunk_bytes = tasks_per_chunk // 8
+        return bytes(self.bits[number * chunk_bytes : (number + 1) * chunk_bytes])
 
-    def replace_chunk(self, number: int, tasks: int, content: bytes) -> None:
-        """Put a chunk's bytes in place of those that are here."""
-        start = number * (tasks // 8)
+    def replace_chunk(self, number: int, tasks_per_chunk: int, content: bytes) -> None:
+        """Overwrite the bytes of a chunk with `content`."""
+        start = number * (tasks_per_chunk // 8)
         self.bits[start : start + len(content)] = content
         self._recount()
 
-    def merge_chunk(self, number: int, tasks: int, content: bytes, task_count: int) -> None:
-        """Set the bits that are set in `content`; what lies beyond the last task is ignored."""
-        start = number * (tasks // 8)
+    def merge_chunk(
+        self, number: int, tasks_per_chunk: int, content: bytes, task_count: int
+    ) -> None:
+        """Set the bits that are set in `content`, except those beyond the job's last task."""
+        start = number * (tasks_per_chunk // 8)
         for offset, byte in enumerate(content[: max(0, len(self.bits) - start)]):
             self.bits[start + offset] |= byte
         spare_bits = len(self.bits) * 8 - task_count
@@ -88,18 +110,20 @@
 
 
 class JobProgress:
-    """Completed tasks of a job, and which of them the state service's progress values hold."""
+    """The completed tasks of a job, and which of them are stored in the state service."""
 
     def __init__(self, task_count: int) -> None:
         self.task_count = task_count
         self.completed = CompletionBitmap(task_count)
         self.durable = CompletionBitmap(task_count)
-        self.unsaved_since: float | None = None  # since when a completion waits for its write
-        self.write_pending = False  # a write or a read of a progress value is under way
-        self.revisions: dict[str, int] = {}  # chunk name -> its value's revision
+        # Since when (monotonic clock, seconds) a completion has been waiting to be written; None if
+        # none is.
+        self.unsaved_since: float | None = None
+        self.write_pending = False  # whether a write or a read of a progress value is under way
+        self.revisions: dict[str, int] = {}  # chunk name -> revision of its progress value
 
     def record_completion(self, index: int, now: float) -> bool:
-        """Count a task as completed; False if it already is, or the job has no such task."""
+        """Mark a task as completed; return False if it already is or the job has no such task."""
         if not 0 <= index < self.task_count or self.completed.contains(index):
             return False
         self.completed.add(index)
@@ -107,29 +131,32 @@
             self.unsaved_since = now
         return True
 
-    def unsaved_chunks(self, tasks: int) -> list[int]:
-        """Numbers of the chunks, of `tasks` tasks each, with completions that are not durable."""
-        size = tasks // 8
+    def unsaved_chunks(self, tasks_per_chunk: int) -> list[int]:
+        """Return the numbers of the chunks in which some completion is not durable yet."""
+        chunk_bytes = tasks_per_chunk // 8
         completed, durable = self.completed.bits, self.durable.bits
         return [
-            start // size
-            for start in range(0, len(completed), size)
-            if completed[start : start + size] != durable[start : start + size]
+            start // chunk_bytes
+            for start in range(0, len(completed), chunk_bytes)
+            if completed[start : start + chunk_bytes] != durable[start : start + chunk_bytes]
         ]
 
     def merge_stored_chunk(
-        self, name: str, first_format_tasks: int, encoded: str, mod_revision: int
+        self, name: str, first_format_tasks_per_chunk: int, encoded: str, mod_revision: int
     ) -> None:
-        """Merge a progress value found in the state service; one that is not base64 is ignored.
+        """Merge a progress value that was read from the state service.
 
-        Its name says which chunk it is and of how many tasks; the older format's went by the
-        limits of its time.
+        Args:
+            name: The name of the chunk; `is_chunk_name` must hold for it.
+            first_format_tasks_per_chunk: The size of the chunk if its name is in the first format.
+            encoded: The bits in base64. The value is ignored if this is not valid base64.
+            mod_revision: The revision of the value.
         """
-        number, tasks = parse_chunk_name(name, first_format_tasks)
+        number, tasks_per_chunk = parse_chunk_name(name, first_format_tasks_per_chunk)
         try:
             content = base64.b64decode(encoded, validate=True)
         except (binascii.Error, ValueError):
             return
-        self.completed.merge_chunk(number, tasks, content, self.task_count)
-        self.durable.merge_chunk(number, tasks, content, self.task_count)
+        self.completed.merge_chunk(number, tasks_per_chunk, content, self.task_count)
+        self.durable.merge_chunk(number, tasks_per_chunk, content, self.task_count)
         self.revisions[name] = mod_revision
--- a/fallpulley/jobs/dependencies.py
+++ b/fallpulley/jobs/dependencies.py
@@ -1,4 +1,4 @@
-"""Carries what job records say over to the jobs that depend on them."""
+"""Applies changes of job records to the jobs that depend on them."""
 
 from __future__ import annotations
 
@@ -15,34 +15,37 @@
 
 
 class DependencyTracker:
-    """Keeps the graph of dependencies up to date, and cancels what depends on cancelled jobs."""
+    """Keeps the dependency graph up to date, and cancels the jobs that depend on cancelled jobs."""
 
     def __init__(self, context: ControllerContext, registry: Registry, index: JobIndex) -> None:
         self.context = context
         self.registry = registry
         self.index = index
         self.pipelines = Pipelines(index.finished_at_ms, index.is_cancelled)
-        # Cancelled because a job that they depend on is, and not yet by their own records;
-        # shard id -> job id -> entry.
-        self.cancelled_by_shard: dict[str, dict[str, JobEntry]] = {}
+        # The jobs that are cancelled because a dependency is, but whose stored records do not say
+        # so yet: shard id -> job id -> entry.
+        self.cancelled_dependents: dict[str, dict[str, JobEntry]] = {}
         self._affected_jobs: set[str] = set()
 
     def drain_affected_jobs(self) -> set[str]:
-        """Jobs that others' records made ready, cancelled or more urgent since the last call."""
+        """Return the jobs that records of other jobs have affected since the last call.
+
+        These became ready, were cancelled, or changed in urgency.
+        """
         affected, self._affected_jobs = self._affected_jobs, set()
         return affected
 
     def on_entry(self, job_id: str, entry: JobEntry) -> None:
-        """A job's record has come: update those that it depends on, and those that depend on it."""
+        """Apply a job's new entry to the jobs that it depends on and to those that depend on it."""
         if entry.state is not JobState.OPEN:
-            self.cancelled_by_shard.get(entry.shard_id, {}).pop(job_id, None)
+            self.cancelled_dependents.get(entry.shard_id, {}).pop(job_id, None)
         changes = self._update_pipelines(job_id, entry)
         if changes is None:
             return
         for ready_job_id in changes.ready:
-            log.info("job ready job=%s dependency=%s", ready_job_id, job_id)
+            log.info("job ready, all dependencies done job=%s dependency=%s", ready_job_id, job_id)
         for cancelled_job_id in changes.cancelled:
-            self._cancel_with_dependency(cancelled_job_id, job_id)
+            self._cancel_dependent(cancelled_job_id, job_id)
         self._affected_jobs.update(changes.ready, changes.cancelled, changes.urgency_changed)
 
     def _update_pipelines(self, job_id: str, entry: JobEntry) -> PipelineChanges | None:
@@ -68,13 +71,13 @@
         return self.pipelines.add_job(job_id, depends_on, self._standalone_node(entry, spec))
 
     def _add_dependency_node(self, job_id: str) -> None:
-        """A job that another depends on is part of its pipeline, though it may depend on none."""
+        """Give an open job that another job depends on a node, even if it depends on no job."""
         entry = self.index.entries.get(job_id)
         if entry is not None and entry.spec is not None:
-            self.pipelines.add_dependency(job_id, self._standalone_node(entry, entry.spec))
+            self.pipelines.ensure_node(job_id, self._standalone_node(entry, entry.spec))
 
     def _standalone_node(self, entry: JobEntry, spec: Submission) -> DependencyNode:
-        """A job as it stands alone, without those that depend on it."""
+        """Return a job's node without the effects of the jobs that depend on it."""
         priority_level = PRIORITY_LEVELS[spec.priority]
         deadline_at = (
             entry.submitted_at_ms / 1000 + spec.deadline_s
@@ -84,24 +87,31 @@
         return DependencyNode(
             entry.submitted_at_ms,
             priority_level,
-            self._task_s(spec),
+            self._estimated_task_s(spec),
             own_deadline_at=deadline_at,
             priority_level=priority_level,
             deadline_at=deadline_at,
         )
 
-    def _task_s(self, spec: Submission) -> float:
-        """A task's estimated fetch and run time (T 3-1: transfer cost and mean run time)."""
+    def _estimated_task_s(self, spec: Submission) -> float:
+        """Return the estimated seconds to fetch the image and run one task.
+
+        These are the transfer cost and the mean run time of T 3-1.
+        """
         fetch_rates = [
             machine_type.fetch_gb_per_s for machine_type in self.registry.machine_types.values()
         ]
         mean_rate = sum(fetch_rates) / len(fetch_rates) if fetch_rates else 0.0
         return spec.estimated_run_s + (spec.image_gb / mean_rate if mean_rate > 0 else 0.0)
 
-    def _cancel_with_dependency(self, job_id: str, dependency_id: str) -> None:
+    def _cancel_dependent(self, job_id: str, dependency_id: str) -> None:
         entry = self.index.entries.get(job_id)
         if entry is None or entry.state is not JobState.OPEN:
             return
-        log.info("job cancelled with dependency job=%s dependency=%s", job_id, dependency_id)
-        self.index.cancel(job_id, entry)
-        self.cancelled_by_shard.setdefault(entry.shard_id, {})[job_id] = entry
+        log.info(
+            "job cancelled because a dependency was cancelled job=%s dependency=%s",
+            job_id,
+            dependency_id,
+        )
+        self.index.mark_cancelled(job_id, entry)
+        self.cancelled_dependents.setdefault(entry.shard_id, {})[job_id] = entry
--- a/fallpulley/jobs/job_parts.py
+++ b/fallpulley/jobs/job_parts.py
@@ -1,4 +1,4 @@
-"""What an owner knows of one of its unfinished jobs, by concern."""
+"""The parts of an open job's state in its shard's owner: queue, gang, retries, estimates."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 
 from fallpulley.jobs.pipelines import DependencyNode
 
-# A job that fails on several machines waits longer each time, up to so many lease lengths.
-MAX_RETRY_PAUSE_LEASES = 6.0
-# The first pause, which doubles with each failure.
-FIRST_RETRY_PAUSE_LEASES = 0.25
-# A pipeline's deadline is at risk once the time left is less than so many times the rest of its
-# path.
-AT_RISK_CRITICAL_PATHS = 1.25
+# The longest back-off of a job that has failed on more than one machine, in lease durations.
+MAX_RETRY_BACKOFF_LEASES = 6.0
+# The first back-off of such a job, in lease durations; it doubles with each further failure.
+FIRST_RETRY_BACKOFF_LEASES = 0.25
+# A pipeline's deadline is at risk once the time left is less than this many times the estimated
+# time for the rest of the job and the longest path after it.
+DEADLINE_RISK_FACTOR = 1.25
 
-NEVER = float("-inf")
+# A time before all others: a retry is allowed at any time.
+ANY_TIME = float("-inf")
 
 
 class TaskQueue:
-    """Indices of the tasks that wait for a machine, in order.
+    """The indices of the tasks that wait for a machine, in the order in which they start.
 
-    A started or completed task leaves it lazily, once it comes to the front.
+    A task that has started or completed is not removed at once, but when it reaches the front.
     """
 
     __slots__ = ("_indices", "_is_queued")
@@ -32,10 +33,10 @@
         self._indices: deque[int] = deque(range(task_count))
         self._is_queued = bytearray(b"\1") * task_count
 
-    def first(
+    def first_waiting(
         self, limit: int, running: Container[int], is_completed: Callable[[int], bool]
     ) -> list[int]:
-        """The first `limit` tasks that are neither running nor completed, each once."""
+        """Return the first tasks that are neither running nor completed, at most `limit`."""
         indices = self._indices
         while indices and (indices[0] in running or is_completed(indices[0])):
             self._is_queued[indices.popleft()] = 0
@@ -48,9 +49,10 @@
         return waiting
 
     def requeue(self, index: int) -> None:
-        """Put a task back to the front, unless it has not left the queue yet.
+        """Put a task at the front of the queue, unless it is still in the queue.
 
-        A started task leaves the queue lazily; twice in it, it would be booked twice.
+        A started task may not have been removed yet. If it were in the queue twice, it would be
+        booked twice.
         """
         if not self._is_queued[index]:
             self._indices.appendleft(index)
@@ -58,68 +60,81 @@
 
 
 class GangState(msgspec.Struct):
-    """The common attempt of a gang's tasks.
+    """The attempt number that all running tasks of a gang share, and whether the gang restarts.
 
-    A gang runs together or not at all: once a task has to start again, the others are stopped,
-    and all start anew when none is left.
+    The tasks of a gang run at the same time or not at all. Once one of them has to start again,
+    the others are stopped, and all start again when none is left running.
     """
 
-    attempt: int = 0  # the latest attempt's number
-    restarting: bool = False
+    attempt: int = 0  # the number of the latest attempt
+    restarting: bool = False  # whether the remaining tasks are to be stopped
 
 
 class RunTimeObservations(msgspec.Struct):
-    """Run times of the job's completed tasks."""
+    """The observed run times of a job's completed tasks."""
 
-    tasks: int = 0
-    total_s: float = 0.0
+    tasks: int = 0  # how many run times were observed
+    total_s: float = 0.0  # their sum in seconds
 
     def record(self, run_s: float) -> None:
-        """A task ran for `run_s` seconds."""
+        """Add the run time of a completed task, in seconds."""
         self.tasks += 1
         self.total_s += run_s
 
 
 class RetryState(msgspec.Struct):
-    """Failures of the job's tasks, and when something of it may be tried again."""
+    """The failures of a job's tasks, and the time before which no task may be tried again."""
 
-    failed_machines: set[str] = msgspec.field(default_factory=set)
-    failure_count: int = 0
-    not_before: float = NEVER  # steady clock
+    failed_machines: set[str] = msgspec.field(default_factory=set)  # ids
+    failure_count: int = 0  # on all machines together
+    not_before: float = ANY_TIME  # seconds of the monotonic clock
 
     def record_failure(self, machine_id: str, now: float, lease_s: float) -> None:
-        """Another machine next; when it fails everywhere, growing pauses."""
+        """Record that a task failed on a machine, and set the back-off of the job.
+
+        After failures on one machine only, the job may be tried on another at once. After failures
+        on several machines, it waits for an exponential back-off.
+        """
         self.failure_count += 1
         self.failed_machines.add(machine_id)
         if len(self.failed_machines) > 1:
             self.not_before = now + min(
-                MAX_RETRY_PAUSE_LEASES * lease_s,
-                FIRST_RETRY_PAUSE_LEASES * lease_s * 2 ** (self.failure_count - 2),
+                MAX_RETRY_BACKOFF_LEASES * lease_s,
+                FIRST_RETRY_BACKOFF_LEASES * lease_s * 2 ** (self.failure_count - 2),
             )
 
 
-class JobUrgency(msgspec.Struct):
-    """How long the rest of the job takes, and whether its pipeline's deadline is at risk."""
+class RemainingTime(msgspec.Struct):
+    """The estimated time for the rest of a job, and whether its pipeline's deadline is at risk."""
 
-    remaining_s: float = float("inf")
-    remaining_inputs: tuple[object, ...] = ()  # what `remaining_s` was computed from
+    remaining_s: float = float("inf")  # seconds; infinite until it is estimated
+    # What `remaining_s` was computed from: it is computed again only when this changes.
+    remaining_inputs: tuple[object, ...] = ()
     deadline_at_risk: bool = False
 
     def update_deadline_risk(self, node: DependencyNode, wall_time: float) -> None:
-        """Set the flag if the pipeline's deadline leaves too little time for the rest of its path.
+        """Set `deadline_at_risk` if too little time is left until the pipeline's deadline.
+
+        The flag is never cleared: if it changed from plan to plan, the job would be stopped and
+        started again and again.
 
-        It stays set: a job that changed sides from plan to plan would be stopped and started again.
+        Args:
+            node: The job's node in the dependency graph.
+            wall_time: The current time, in seconds since the epoch.
         """
         if self.deadline_at_risk:
             return
+        # `node.deadline_at` is when this job must be done: the path after it still has to follow.
         left_s = node.deadline_at + node.critical_path_s - wall_time
-        self.deadline_at_risk = left_s < AT_RISK_CRITICAL_PATHS * (
+        self.deadline_at_risk = left_s < DEADLINE_RISK_FACTOR * (
             self.remaining_s + node.critical_path_s
         )
 
 
 class ProcessorEstimate(msgspec.Struct):
-    """Processors that a task takes of the machine that suits it best."""
+    """How many processors of the cheapest suitable machine type one task occupies."""
 
     per_task: float
-    machine_types: object = None  # the table of types that it was computed with
+    # The machine types that `per_task` was computed with, None if it was not computed yet: it is
+    # computed again when the catalog is replaced.
+    machine_types: object = None
--- a/fallpulley/jobs/job_writes.py
+++ b/fallpulley/jobs/job_writes.py
@@ -1,4 +1,4 @@
-"""Conditional writes of job records and progress values, by how long they may wait."""
+"""Conditional writes of job records and progress values, with a maximum wait in the queue."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 from fallpulley.context import ControllerContext
 from fallpulley.state.transactions import Change, RequestPriority, Write, WriteResult
 
-# A write that has not gone out by then is dropped: a user would ask again anyway.
+# How long a write that a user waits for may stay queued before it is dropped. The user is told to
+# ask again, and would do so by then in any case.
 MAX_ACCEPT_WAIT_SECONDS = 2.0
-# What is dropped after this wait is decided anew.
+# How long a write that nobody waits for may stay queued before it is dropped. The owner of the
+# shard then decides again what to write.
 MAX_PROGRESS_WAIT_SECONDS = 5.0
 
 
@@ -19,9 +21,13 @@
     changes: list[Change],
     on_result: Callable[[WriteResult], None],
 ) -> None:
-    """Write what a user waits for: acceptances, cancellations and completions of jobs.
+    """Queue a write that a user waits for: the acceptance, cancellation or completion of a job.
 
-    `conditions`: mod revisions that the keys must have, 0 where a key must not exist.
+    Args:
+        context: The controller's context.
+        conditions: The revision that each of these keys must have; 0 if it must not exist.
+        changes: The changes to make, all of them or none.
+        on_result: Called with the outcome of the write.
     """
     expires_at = context.now + MAX_ACCEPT_WAIT_SECONDS
     context.state_client.write(
@@ -36,7 +42,17 @@
     value: bytes,
     on_result: Callable[[WriteResult], None],
 ) -> None:
-    """Write one value that nobody waits for, if its key has `mod_revision` (0: does not exist)."""
+    """Queue a write of one value that nobody waits for.
+
+    Used for progress values and for records of jobs that are cancelled because a dependency is.
+
+    Args:
+        context: The controller's context.
+        key: The key to write.
+        mod_revision: The revision that the key must have; 0 if it must not exist.
+        value: The encoded value.
+        on_result: Called with the outcome of the write.
+    """
     expires_at = context.now + MAX_PROGRESS_WAIT_SECONDS
     context.state_client.write(
         Write(
--- a/fallpulley/jobs/messages.py
+++ b/fallpulley/jobs/messages.py
@@ -1,4 +1,4 @@
-"""Messages between users and controllers, and the stored records of jobs, with their wire names."""
+"""Job messages between users and controllers, and stored job records, with their wire names."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 import msgspec
 from msgspec import Meta
 
-# An amount of a resource, or seconds.
+# An amount of a resource (processors, GPUs, GB) or a duration in seconds.
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
-# A name: of a team, an image, a machine type, ...
+# The name of a team, an image, a machine type and the like.
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 
 
 class JobKind(StrEnum):
-    """How a job's tasks belong together. Values as in the protocol's field `shape`.
+    """How the tasks of a job relate to each other; the values are those of the wire field `shape`.
 
-    An array's tasks are independent, a gang's run all at the same time or not at all, a service's
-    run until it is cancelled.
+    The tasks of an array are independent. The tasks of a gang run all at the same time or not at
+    all. The tasks of a service run until the service is cancelled.
     """
 
     ARRAY = "sweep"
@@ -28,7 +28,10 @@
 
 
 class JobState(StrEnum):
-    """The state of a job. Values as in the protocol's field `stage`; `OPEN` in records alone."""
+    """The state of a job; the values are those of the wire field `stage`.
+
+    `OPEN` occurs only in stored records, where it stands for both `PENDING` and `RUNNING`.
+    """
 
     PENDING = "pending"
     RUNNING = "running"
@@ -38,7 +41,7 @@
 
 
 class Priority(StrEnum):
-    """A job's priority class. Values as in the protocol's field `rank`."""
+    """The priority class of a job, lowest first; the values are those of the wire field `rank`."""
 
     BEST_EFFORT = "best_effort"
     STANDARD = "standard"
@@ -51,7 +54,7 @@
 
 FINAL_STATES: Final = (JobState.DONE, JobState.CANCELLED)
 
-# From the least urgent up.
+# The numeric level of each priority class; 0 is the lowest.
 PRIORITY_LEVELS: Final = {priority: level for level, priority in enumerate(Priority)}
 
 
@@ -81,7 +84,10 @@
         "depends_on": "awaits",
     },
 ):
-    """`POST /work`. Fields that may be null may be left out."""
+    """The body of `POST /work`: the specification of a job.
+
+    Fields that may be null may also be left out.
+    """
 
     job_id: Text
     job_class: Text
@@ -103,7 +109,7 @@
     machine_types: Annotated[list[Text], Meta(max_length=64)] | None = None
     zone: Text | None = None
     deadline_s: Amount | None = None
-    # Jobs that have to be done before any task of this one starts.
+    # Ids of the jobs that must be done before any task of this job starts.
     depends_on: list[JobId] | None = None
 
 
@@ -118,9 +124,10 @@
         "finished_at_ms": "end_ms",
     },
 ):
-    """`live/job/<id>`: written at acceptance, once more when the job ends, never dropped.
+    """The record of a job under `live/job/<id>`.
 
-    The specification goes when the job is over: nothing needs it any more.
+    It is written when the job is accepted and again when the job ends, and it is never deleted.
+    The record of an ended job holds no specification, since nothing needs it any more.
     """
 
     shard_id: str
@@ -128,18 +135,19 @@
     task_count: int
     state: JobState = JobState.OPEN
     spec: Submission | None = None
-    # When it ended: jobs that depend on it count their times from then. 0: its writer didn't say.
+    # When the job was done. The waiting times of the jobs that depend on it count from then. 0 if
+    # the writer of the record did not set it.
     finished_at_ms: int = 0
 
 
 class Progress(msgspec.Struct):
-    """`prog/<id>/<chunk>`: a chunk of the bitmap of completed tasks, in base64."""
+    """The value of `prog/<id>/<chunk>`: one chunk of the bitmap of a job's completed tasks."""
 
-    bits: str
+    bits: str  # base64
 
 
 class JobStatus(msgspec.Struct, omit_defaults=True, rename={"job_id": "uid", "state": "stage"}):
-    """The response about a job. `done` and `running` count tasks."""
+    """The response to a request about a job; `done` and `running` are numbers of tasks."""
 
     job_id: str
     state: JobState
@@ -148,11 +156,15 @@
 
 
 class SubmissionError(ValueError):
-    """A submission is malformed; its text says what, as the user is told."""
+    """Raised for a malformed submission; its text says what is wrong and is sent to the user."""
 
 
 def parse_submission(body: bytes) -> Submission:
-    """Decode a submission. Raises SubmissionError if it is malformed."""
+    """Decode and validate the body of a submission.
+
+    Raises:
+        SubmissionError: The submission is malformed.
+    """
     try:
         spec = msgspec.json.decode(body, type=Submission)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -167,15 +179,15 @@
 
 
 class _NamedJob(msgspec.Struct, rename={"job_id": "uid"}):
-    """The one field of a submission that says which job it is."""
+    """The part of a submission that identifies its job; all other fields are ignored."""
 
     job_id: Text
 
 
-def job_id_of(body: bytes) -> str | None:
-    """The job that a malformed submission names, None if it names none.
+def decode_job_id(body: bytes) -> str | None:
+    """Return the job id in the body of a malformed submission; None if it holds no valid one.
 
-    It may be a repeat of one that was accepted.
+    The submission may repeat one that was accepted before, so the job may exist.
     """
     try:
         job_id = msgspec.json.decode(body, type=_NamedJob).job_id
@@ -185,19 +197,19 @@
 
 
 def task_id(job_id: str, index: int) -> str:
-    """A task's name in the protocol."""
+    """Return the id of a task in messages: the job's id and the task's index in the job."""
     return f"{job_id}/{index}"
 
 
 class TaskId(NamedTuple):
-    """A task's job and its index in it."""
+    """The parts of a task's id: the job's id and the task's index in the job."""
 
     job_id: str
     task_index: int
 
 
 def parse_task_id(text: str) -> TaskId | None:
-    """Job and index of a task by its name; None for anything else."""
+    """Split a task's id into job id and index; return None if the text is not a task's id."""
     job_id, slash, index = text.rpartition("/")
     if not slash or not index.isdigit() or not JOB_ID.fullmatch(job_id):
         return None
--- a/fallpulley/jobs/open_job.py
+++ b/fallpulley/jobs/open_job.py
@@ -1,12 +1,12 @@
-"""An unfinished job as its shard's owner knows it."""
+"""The state of an open job in the controller that owns its shard."""
 
 from __future__ import annotations
 
 from fallpulley.jobs.completion import JobProgress
 from fallpulley.jobs.job_parts import (
     GangState,
-    JobUrgency,
     ProcessorEstimate,
+    RemainingTime,
     RetryState,
     RunTimeObservations,
     TaskQueue,
@@ -16,11 +16,12 @@
 from fallpulley.resources import Resources
 from fallpulley.workers.machine import TaskRun
 
+# A constant, since enum members are looked up slowly.
 _GANG = JobKind.GANG
 
 
 class OpenJob:
-    """An unfinished job: its specification, its tasks, and what was observed of them."""
+    """An open job: its specification, the state of its tasks, and what was observed of them."""
 
     def __init__(
         self,
@@ -30,36 +31,47 @@
         mod_revision: int,
         dependency_node: DependencyNode | None = None,
     ) -> None:
-        """`mod_revision`: of the job's record; `dependency_node`: its place in a pipeline."""
+        """Create the state of a job none of whose tasks is known to be running or completed.
+
+        Args:
+            job_id: The job's id.
+            record: The job's stored record.
+            spec: The job's specification.
+            mod_revision: The revision of the record.
+            dependency_node: The job's node in the dependency graph; None if it has no place there.
+        """
         self.job_id = job_id
         self.record = record
         self.spec = spec
         self.mod_revision = mod_revision
         self.dependency_node = dependency_node
         self.resources = Resources(spec.cpus, spec.gpus, spec.memory_gb)
-        self.runs: dict[int, TaskRun] = {}  # task index -> its attempt
-        self.cancelled = False
-        self.final_write_pending = False  # the final record is being written
+        self.runs: dict[int, TaskRun] = {}  # task index -> the task's attempt on a machine
+        self.cancelled = False  # whether the job has ended, so that no task may start or go on
+        self.final_write_pending = False  # whether the record of the done job is being written
         self.task_queue = TaskQueue(spec.task_count)
         self.progress = JobProgress(spec.task_count)
         self.gang = GangState()
         self.run_times = RunTimeObservations()
         self.retry = RetryState()
-        self.urgency = JobUrgency()
+        self.urgency = RemainingTime()
         self.processors = ProcessorEstimate(spec.cpus)
 
-    # -- its place in a pipeline -----------------------------------------------------------
+    # -- dependencies ----------------------------------------------------------------------
 
     @property
     def waits_for_dependencies(self) -> bool:
-        """A job that it depends on is not known to be done: nothing of it may start."""
+        """Whether a dependency is not known to be done, so that no task may start."""
         return self.dependency_node is not None and bool(
             self.dependency_node.unfinished_dependencies
         )
 
     @property
     def ready_since_ms(self) -> int:
-        """Its times count from here: its submission, or the end of its last dependency."""
+        """When the job was submitted or its last dependency was done, in ms since the epoch.
+
+        The job's waiting time counts from then.
+        """
         return (
             self.record.submitted_at_ms
             if self.dependency_node is None
@@ -68,7 +80,7 @@
 
     @property
     def priority_level(self) -> int:
-        """The highest priority level of its own and of all jobs that depend on it."""
+        """The highest priority level among the job itself and all jobs that depend on it."""
         return (
             PRIORITY_LEVELS[self.spec.priority]
             if self.dependency_node is None
@@ -77,39 +89,48 @@
 
     @property
     def critical_path_s(self) -> float:
-        """The longest path of estimated fetches and run times after it, in seconds."""
+        """The longest path of estimated task times through the jobs that depend on it, in seconds.
+
+        A task's time consists of the fetch of its image and its run.
+        """
         return 0.0 if self.dependency_node is None else self.dependency_node.critical_path_s
 
     def update_deadline_risk(self, wall_time: float) -> None:
-        """Set whether its pipeline's deadline is at risk, if it belongs to one."""
+        """Update whether the pipeline's deadline is at risk, if the job belongs to a pipeline.
+
+        `wall_time` is in seconds since the epoch.
+        """
         if self.dependency_node is not None:
             self.urgency.update_deadline_risk(self.dependency_node, wall_time)
 
-    # -- its tasks -------------------------------------------------------------------------
+    # -- tasks -----------------------------------------------------------------------------
 
     @property
     def finished(self) -> bool:
-        """Every task is completed."""
+        """Whether every task is completed; the record may not say so yet."""
         return self.progress.completed.count >= self.spec.task_count
 
     def is_completed(self, index: int) -> bool:
-        """Whether the task is completed."""
+        """Return whether the task is completed."""
         return self.progress.completed.contains(index)
 
     def is_durable(self, index: int) -> bool:
-        """Whether the task's completion stands in the state service."""
+        """Return whether the task's completion is stored in the state service."""
         return self.progress.durable.contains(index)
 
     def waiting_count(self) -> int:
-        """How many tasks are neither completed nor on a machine."""
+        """Return how many tasks are neither completed nor on a machine."""
         return max(0, self.spec.task_count - self.progress.completed.count - len(self.runs))
 
     def next_tasks(self, limit: int) -> list[int]:
-        """The first tasks that are neither completed nor on a machine, each once."""
-        return self.task_queue.first(limit, self.runs, self.progress.completed.contains)
+        """Return the next tasks to start, at most `limit`: neither completed nor on a machine."""
+        return self.task_queue.first_waiting(limit, self.runs, self.progress.completed.contains)
 
     def requeue(self, index: int) -> None:
-        """A task has to start again, unless it is completed; a gang's others with it."""
+        """Make a task start again unless it is completed.
+
+        If the job is a gang with other tasks on machines, mark it for a restart of all of them.
+        """
         if not self.is_completed(index):
             self.task_queue.requeue(index)
             self.gang.restarting = self.spec.kind is _GANG and bool(self.runs)
--- a/fallpulley/jobs/pipelines.py
+++ b/fallpulley/jobs/pipelines.py
@@ -1,13 +1,16 @@
-"""The graph of dependencies between unfinished jobs, and the urgency that follows from it.
+"""The graph of dependencies between open jobs, and the urgency that it gives to each job.
 
-All of it follows from job records alone, so every controller and every new owner derives the same:
+The graph is derived from job records alone, so that every controller and every new owner of a
+shard derives the same graph:
 
-- A job is ready once the records of all jobs that it depends on say done. Done never goes back.
-- A job that depends on a cancelled one, at whatever depth, is cancelled: it has never started
-  anything. Its own record follows when there is time.
+- A job is ready once the records of all its dependencies say that they are done. This state is
+  final.
+- A job that depends on a cancelled job, directly or through others, is cancelled as well. It cannot
+  have started any task. Its own record is updated later, when the write queue has room.
 
-A pipeline is one task graph of the thesis: priority, deadline and the length of the path after a
-job are carried back from the jobs that depend on it (upward rank, T 3-1).
+A pipeline corresponds to one task graph of the thesis that `fallpulley.placement` follows: a job's
+priority, its deadline and the length of the path after it are derived from the jobs that depend on
+it (upward rank, T 3-1).
 """
 
 from __future__ import annotations
@@ -17,70 +20,89 @@
 
 import msgspec
 
-# A path is carried back once it has grown by this share: at every new end of a chain of thousands
-# all of it was traversed, and the order of the queue does not need it more exactly.
+# The share by which a path must have grown before the new length is propagated to dependencies.
+# Without this, each job added to the end of a chain of thousands of jobs causes a traversal of the
+# whole chain. The order of the queue does not need more exact lengths.
 MIN_PATH_GROWTH = 1 / 16
 
 
 class DependencyNode(msgspec.Struct, eq=False):
-    """An unfinished job that depends on others, or that others depend on."""
+    """An open job that depends on other jobs or that other jobs depend on.
 
-    # When its last dependency was done; its own submission if it depends on none.
+    Deadlines are in seconds since the epoch, infinite where there is none.
+    """
+
+    # When the last dependency was done (so far), in ms since the epoch; the time of submission if
+    # there is no dependency.
     ready_since_ms: int
-    own_priority_level: int = 0
-    task_s: float = 0.0  # estimated fetch and run time of a task
-    own_deadline_at: float = math.inf  # its own deadline, time of day
-    # Jobs that it depends on and that are not known to be done.
+    own_priority_level: int = 0  # without regard to the jobs that depend on it
+    task_s: float = 0.0  # the estimated time to fetch the image and run one task, in seconds
+    own_deadline_at: float = math.inf  # without regard to the jobs that depend on it
+    # The ids of the dependencies that are not known to be done.
     unfinished_dependencies: set[str] = msgspec.field(default_factory=set)
-    priority_level: int = 0  # the highest of its own and of all that depend on it
-    critical_path_s: float = 0.0  # the longest path of task times after it
-    deadline_at: float = math.inf  # when it has to be done for all that depend on it to meet theirs
+    priority_level: int = 0  # the highest level among the job and all jobs that depend on it
+    # The longest path of task times through the jobs that depend on it, in seconds.
+    critical_path_s: float = 0.0
+    # When the job must be done so that it and all jobs that depend on it can meet their deadlines.
+    deadline_at: float = math.inf
 
 
 class Urgency(msgspec.Struct):
-    """What a job itself and the jobs that depend on it ask of it."""
+    """The urgency of a job that follows from itself and from the jobs that depend on it.
+
+    The fields have the same meaning as in `DependencyNode`.
+    """
 
     priority_level: int
     critical_path_s: float
-    deadline_at: float  # time of day
+    deadline_at: float
 
 
 class PipelineChanges(msgspec.Struct):
-    """Ids of the jobs for which another job's record has changed something."""
+    """The ids of the jobs that a change of another job's record affects."""
 
-    ready: list[str] = []
-    cancelled: list[str] = []
-    urgency_changed: list[str] = []  # priority, path or deadline are other than before
+    ready: list[str] = []  # all dependencies are done now
+    cancelled: list[str] = []  # a dependency was cancelled
+    urgency_changed: list[str] = []  # the priority, path or deadline has changed
 
 
-# When a job was done, by its id; None: it is not known to be done.
+# Takes a job id; returns when the job was done, in ms since the epoch, or None if it is not known
+# to be done.
 FinishedAt = Callable[[str], int | None]
-# Whether a job is known to be cancelled, by its id.
+# Takes a job id; returns whether the job is known to be cancelled.
 IsCancelled = Callable[[str], bool]
 
 
 class Pipelines:
-    """The unfinished jobs that take part in pipelines. Records may come in any order."""
+    """The dependency graph of open jobs. The records of jobs may be added in any order."""
 
     def __init__(self, finished_at_ms: FinishedAt, is_cancelled: IsCancelled) -> None:
-        """Both functions look up a job's record by its id."""
+        """Create an empty graph.
+
+        Args:
+            finished_at_ms: Returns when a job was done according to its record.
+            is_cancelled: Returns whether a job is known to be cancelled.
+        """
         self.nodes: dict[str, DependencyNode] = {}
         self.dependents: dict[str, set[str]] = {}  # job id -> ids of the jobs that depend on it
         self._finished_at_ms = finished_at_ms
         self._is_cancelled = is_cancelled
 
     def node(self, job_id: str) -> DependencyNode | None:
-        """The job's node; None if it takes part in no pipeline."""
+        """Return the job's node; None if the job is not part of any pipeline."""
         return self.nodes.get(job_id)
 
     def add_job(self, job_id: str, depends_on: list[str], node: DependencyNode) -> PipelineChanges:
-        """An unfinished job's record has come; returns what it changes for this and other jobs.
+        """Add an open job and return what changes for it and for other jobs.
 
-        `node`: the job as it stands alone.
+        Args:
+            job_id: The job's id.
+            depends_on: The ids of the jobs that it depends on.
+            node: The job's node, without the effects of the jobs that depend on it.
         """
         changes = PipelineChanges()
         if not depends_on and job_id not in self.dependents:
-            return changes  # nothing depends on it yet; its node is made when something does
+            return changes  # its node is added once another job depends on it
         self.nodes[job_id] = node
         for dependency_id in depends_on:
             finished_at_ms = self._finished_at_ms(dependency_id)
@@ -96,12 +118,12 @@
             self._raise_urgency([job_id, *node.unfinished_dependencies], changes)
         return changes
 
-    def add_dependency(self, job_id: str, node: DependencyNode) -> None:
-        """Something depends on this job: it has a node, though it may depend on none."""
+    def ensure_node(self, job_id: str, node: DependencyNode) -> None:
+        """Add a node for a job that others depend on, unless the job already has one."""
         self.nodes.setdefault(job_id, node)
 
     def complete_job(self, job_id: str, finished_at_ms: int) -> PipelineChanges:
-        """A job's durable record says done; returns which others are ready by that."""
+        """Remove a job whose durable record says done; return which other jobs became ready."""
         changes = PipelineChanges()
         for dependent_id in sorted(self.dependents.pop(job_id, ())):
             node = self.nodes.get(dependent_id)
@@ -115,21 +137,22 @@
         return changes
 
     def cancel_job(self, job_id: str) -> PipelineChanges:
-        """A job's durable record says cancelled; returns which others are by that."""
+        """Remove a job whose durable record says cancelled; return which others are cancelled."""
         changes = PipelineChanges(cancelled=[job_id])
         self._cancel_dependents(changes)
         changes.cancelled.remove(job_id)
         return changes
 
     def _cancel_dependents(self, changes: PipelineChanges) -> None:
-        """Cancel all jobs that depend on those in `changes.cancelled`, breadth first.
+        """Remove the jobs in `changes.cancelled` and, breadth first, all jobs that depend on them.
 
-        Without recursion: chains are thousands of jobs long. What a cancelled job depended on
-        besides has one dependent fewer, so its urgency is computed anew.
+        The dependents are appended to `changes.cancelled`. There is no recursion, since chains may
+        be thousands of jobs long. The other dependencies of a removed job lose a dependent, so
+        their urgency is computed again.
         """
         cancelled_ids = set(changes.cancelled)
         other_dependencies: set[str] = set()
-        for job_id in changes.cancelled:  # grows meanwhile: it is the queue as well
+        for job_id in changes.cancelled:  # also the queue: it grows during the loop
             node = self.nodes.pop(job_id, None)
             if node is not None:
                 for dependency_id in node.unfinished_dependencies:
@@ -142,7 +165,7 @@
         self._recompute_urgency(other_dependencies - cancelled_ids, changes)
 
     def _urgency(self, job_id: str, node: DependencyNode) -> Urgency:
-        """Priority, path and deadline of a job by its own and its dependents' (T 3-1)."""
+        """Return a job's urgency, computed from its own node and its dependents' (T 3-1)."""
         urgency = Urgency(node.own_priority_level, 0.0, node.own_deadline_at)
         for dependent_id in self.dependents.get(job_id, ()):
             dependent = self.nodes.get(dependent_id)
@@ -157,9 +180,9 @@
         return urgency
 
     def _raise_urgency(self, job_ids: list[str], changes: PipelineChanges) -> None:
-        """Carry priority, path and deadline from jobs back to their dependencies.
+        """Update the urgency of jobs, and propagate it to their dependencies.
 
-        Only as far as a job becomes more urgent by it. `job_ids` is used up.
+        Propagation stops at jobs that do not become clearly more urgent. Empties `job_ids`.
         """
         stack = job_ids
         while stack:
@@ -176,7 +199,7 @@
                 stack.extend(node.unfinished_dependencies)
 
     def _recompute_urgency(self, job_ids: Iterable[str], changes: PipelineChanges) -> None:
-        """Jobs have fewer dependents now: they and their dependencies may be less urgent."""
+        """Compute again the urgency of jobs that lost dependents, and of their dependencies."""
         stack = sorted(job_ids)
         while stack:
             job_id = stack.pop()
@@ -193,7 +216,7 @@
 
 
 def _clearly_exceeds(urgency: Urgency, node: DependencyNode) -> bool:
-    """Whether a job is so much more urgent than its node says that it is worth carrying back."""
+    """Return whether a job is more urgent than its node says, by enough to be propagated."""
     deadline_is_sooner = (
         urgency.deadline_at < node.deadline_at - MIN_PATH_GROWTH * node.critical_path_s
     )
--- a/fallpulley/jobs/queries.py
+++ b/fallpulley/jobs/queries.py
@@ -1,4 +1,4 @@
-"""Users' questions after the state of a job."""
+"""Users' queries for the state of a job."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
         self.responder = responder
 
     def query(self, pending_response: PendingResponse, job_id: str) -> None:
-        """Respond with a final state from memory, else with one read from now on."""
+        """Respond with the state of a job, or with 404 if it was never accepted.
+
+        A final state is taken from memory. Any other state is sent only after a read of the records
+        that starts now, so that it is current.
+        """
         if not JOB_ID.fullmatch(job_id):
             self.responder.send_no_such_job(pending_response)
             return
@@ -24,6 +28,6 @@
         if entry is not None and entry.state in FINAL_STATES:
             self.responder.send_state(pending_response, job_id, entry)
             return
-        self.responder.when_current(
+        self.responder.respond_when_current(
             pending_response, job_id, lambda: self.responder.send_no_such_job(pending_response)
         )
--- a/fallpulley/jobs/responses.py
+++ b/fallpulley/jobs/responses.py
@@ -1,4 +1,4 @@
-"""Responses about jobs. They rely on durable records only."""
+"""Responses to users about jobs, based only on durable records."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 from fallpulley.jobs.messages import FINAL_STATES, JobState, JobStatus
 from fallpulley.state.watch_cache import WatchCache
 
+# The Retry-After header of responses that ask the user to try again.
 RETRY_AFTER_SECONDS = 1.0
 
 STATE_SERVICE_UNREACHABLE = "state service out of reach"
@@ -37,25 +38,25 @@
         self.context.respond(pending_response, http_status, msgspec.json.encode(status))
 
     def send_state(self, pending_response: PendingResponse, job_id: str, entry: JobEntry) -> None:
-        """Respond with the state of a job as its entry has it."""
+        """Respond with the state of a job according to its entry."""
         self.send_status(pending_response, self._status(job_id, entry))
 
     def send_unavailable(self, pending_response: PendingResponse, reason: str) -> None:
-        """Nothing is decided: the user may ask again after a while."""
+        """Respond that nothing was decided and that the user may try again after a pause."""
         body = msgspec.json.encode({"error": reason})
         self.context.respond(
             pending_response, HTTPStatus.SERVICE_UNAVAILABLE, body, RETRY_AFTER_SECONDS
         )
 
     def send_error(self, pending_response: PendingResponse, http_status: int, reason: str) -> None:
-        """The request cannot be carried out, now or later."""
+        """Respond that the request cannot be carried out, now or later."""
         self.context.respond(pending_response, http_status, msgspec.json.encode({"error": reason}))
 
     def send_no_such_job(self, pending_response: PendingResponse) -> None:
-        """No job of this id was ever accepted."""
+        """Respond that no job with this id was ever accepted."""
         self.send_error(pending_response, HTTPStatus.NOT_FOUND, "no such job")
 
-    def when_current(
+    def respond_when_current(
         self,
         pending_response: PendingResponse,
         job_id: str,
@@ -63,11 +64,17 @@
         on_open: Callable[[JobEntry], None] | None = None,
         unavailable_reason: str = STATE_SERVICE_UNREACHABLE,
     ) -> None:
-        """Respond with the job's state by a copy of the records read from now on.
+        """Respond about a job after a read of the records that starts now, so that it is current.
 
-        A final state never changes, so it is sent even if that read fails; else the response is
-        then "unavailable". `on_missing` is called if the job was never accepted, `on_open` if it is
-        open (None: its state is sent).
+        A final state never changes, so it is sent even if the read fails. Otherwise, the response
+        after a failed read is "unavailable".
+
+        Args:
+            pending_response: Takes the response.
+            job_id: The job's id.
+            on_missing: Called if the job was never accepted.
+            on_open: Called with the job's entry if it is open; if None, its state is sent.
+            unavailable_reason: The reason in the response after a failed read.
         """
 
         def on_current(is_current: bool) -> None:
--- a/fallpulley/jobs/service.py
+++ b/fallpulley/jobs/service.py
@@ -1,4 +1,4 @@
-"""All that a controller does about jobs apart from running them, behind one interface."""
+"""The interface to everything that a controller does about jobs except running them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class JobService:
-    """Users' submissions, queries and cancellations, and the index of job records behind them."""
+    """Handles users' submissions, queries and cancellations, and keeps the index of job records."""
 
     def __init__(
         self,
@@ -36,7 +36,15 @@
         registry: Registry,
         shard_of_team: Callable[[str], str | None],
     ) -> None:
-        """`shard_of_team`: the shard for a team's new jobs; None: whichever has the least work."""
+        """Create the service.
+
+        Args:
+            context: The controller's context.
+            watch: The copy of the shared records.
+            registry: The shards and their machines.
+            shard_of_team: Returns the id of the shard for a team's new jobs; None if any shard may
+                take them.
+        """
         self.teams: dict[str, Team] = {team.name: team for team in context.settings.facts.teams}
         self._index = JobIndex()
         self._dependencies = DependencyTracker(context, registry, self._index)
@@ -57,46 +65,54 @@
     # -- users' requests -------------------------------------------------------------------
 
     def submit(self, pending_response: PendingResponse, body: bytes) -> None:
-        """`POST /work`."""
+        """Handle `POST /work`: accept a job, or respond with the state of one accepted before."""
         self._admission.submit(pending_response, body)
 
     def query(self, pending_response: PendingResponse, job_id: str) -> None:
-        """`GET /work/{id}`."""
+        """Handle `GET /work/{id}`: respond with the state of a job."""
         self._queries.query(pending_response, job_id)
 
     def cancel(self, pending_response: PendingResponse, job_id: str) -> None:
-        """`POST /work/{id}/abort`."""
+        """Handle `POST /work/{id}/abort`: cancel a job."""
         self._cancellation.cancel(pending_response, job_id)
 
     def drain_newly_cancelled(self) -> list[str]:
-        """Jobs whose cancellation was made durable here since the last call."""
+        """Return the jobs whose cancellations this controller made durable since the last call."""
         return self._cancellation.drain_newly_cancelled()
 
     # -- records ---------------------------------------------------------------------------
 
     @property
     def entries(self) -> dict[str, JobEntry]:
-        """Every job's record as last read, by job id."""
+        """The entries of all jobs, as last read, by job id."""
         return self._index.entries
 
     @property
     def open_by_shard(self) -> dict[str, set[str]]:
-        """Ids of open jobs by shard id."""
+        """The ids of open jobs by shard id."""
         return self._index.open_by_shard
 
     @property
     def task_counts(self) -> dict[str, tuple[int, int]]:
-        """Completed and running tasks of open jobs, as their owners last said: for display."""
+        """The numbers of completed and running tasks of open jobs by job id.
+
+        The owners of the jobs' shards report them. They may be out of date, so they are used only
+        in responses to users and in estimates of work.
+        """
         return self._index.task_counts
 
     def on_record(self, job_id: str, value: bytes | None, mod_revision: int) -> JobEntry | None:
-        """A job's record as the watch brings it; returns its new entry, None if there is none."""
+        """Apply a change of a job's record and return the job's new entry.
+
+        Returns None, and changes nothing, if the record was deleted (`value` is None) or cannot be
+        decoded.
+        """
         if value is None:
             return None
         try:
             record = msgspec.json.decode(value, type=JobRecord)
         except msgspec.MsgspecError:
-            log.error("job record malformed job=%s", job_id)
+            log.error("job record cannot be decoded job=%s", job_id)
             return None
         entry = self._index.put(job_id, record, mod_revision)
         self._dependencies.on_entry(job_id, entry)
@@ -106,27 +122,30 @@
 
     @property
     def pipelines(self) -> Pipelines:
-        """The graph of dependencies between unfinished jobs."""
+        """The graph of dependencies between open jobs."""
         return self._dependencies.pipelines
 
     @property
     def cancelled_with_dependencies(self) -> dict[str, dict[str, JobEntry]]:
-        """Jobs by shard that are cancelled because one that they depend on is.
+        """The jobs that are cancelled because a dependency is: shard id -> job id -> entry.
 
-        Their own records do not say so yet.
+        Their own stored records do not say so yet.
         """
-        return self._dependencies.cancelled_by_shard
+        return self._dependencies.cancelled_dependents
 
     def drain_affected_jobs(self) -> set[str]:
-        """Jobs that others' records made ready, cancelled or more urgent since the last call."""
+        """Return the jobs that records of other jobs have affected since the last call."""
         return self._dependencies.drain_affected_jobs()
 
     # -- work ------------------------------------------------------------------------------
 
     def estimated_work(self, shard_id: str) -> float:
-        """Estimated work of a shard's unfinished jobs, in processor-seconds."""
+        """Return the estimated work left in a shard's open jobs, in processor-seconds."""
         return sum(self.estimated_work_by_priority(shard_id).values())
 
     def estimated_work_by_priority(self, shard_id: str) -> dict[Priority, float]:
-        """The same by the jobs' own priorities. Jobs that wait for others are no work yet."""
+        """Return the estimated work of a shard's open jobs, in processor-seconds by priority.
+
+        Jobs whose dependencies are not all done do not count.
+        """
         return estimated_work_by_priority(self._index, self.pipelines, shard_id)
--- a/fallpulley/jobs/shard_choice.py
+++ b/fallpulley/jobs/shard_choice.py
@@ -1,4 +1,4 @@
-"""Which shard a new job belongs to."""
+"""Chooses the shard that a new job belongs to."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ShardChooser:
-    """Chooses the shard with the least work for the machines that a job may use."""
+    """Chooses the shard with the least work per processor that a new job may use."""
 
     def __init__(
         self,
@@ -19,9 +19,15 @@
         shard_of_team: Callable[[str], str | None],
         estimated_work: Callable[[str], float],
     ) -> None:
-        """`shard_of_team`: the shard for a team's new jobs; None: whichever has the least work.
+        """Create a chooser.
 
-        `estimated_work`: of a shard's unfinished jobs, in processor-seconds.
+        Args:
+            registry: The shards, their machines, and the shards assigned to limited teams.
+            teams: All teams of the settings by name.
+            shard_of_team: Returns the id of the shard for a team's new jobs; None if any shard may
+                take them.
+            estimated_work: Returns the estimated work of a shard's open jobs, in
+                processor-seconds.
         """
         self.registry = registry
         self.teams = teams
@@ -29,7 +35,10 @@
         self.estimated_work = estimated_work
 
     def choose(self, spec: Submission) -> str | None:
-        """The job's shard; a limited team has one of its own. None: there is no shard yet."""
+        """Return the id of the shard for a new job; None if there is no shard yet.
+
+        All jobs of a team with a limit go to the same shard.
+        """
         if self.teams[spec.team].limited and spec.team in self.registry.team_shards:
             return self.registry.team_shards[spec.team]
         assigned = self.shard_of_team(spec.team)
@@ -41,16 +50,20 @@
         return min(shards, key=lambda shard_id: self._relative_load(spec, shard_id))
 
     def _relative_load(self, spec: Submission, shard_id: str) -> tuple[bool, float, str]:
-        """Sort key: seconds of work for each processor that the job may use.
+        """Return the sort key of a shard: its work per processor that the job may use, in seconds.
 
-        A shard where it may use none comes last. A shard that had nothing but spot machines once
-        got urgent jobs that may not run on them.
+        A shard without such processors sorts last: otherwise a shard that has only spot machines
+        is given urgent jobs that may not run on spot machines.
         """
-        usable = sum(
+        usable_processors = sum(
             cpus
             for (type_name, zone, spot), cpus in self.registry.processors_by_shape(shard_id).items()
             if (spec.allow_spot or not spot)
             and (spec.machine_types is None or type_name in spec.machine_types)
             and (spec.zone is None or zone == spec.zone)
         )
-        return usable == 0, self.estimated_work(shard_id) / max(usable, 1.0), shard_id
+        return (
+            usable_processors == 0,
+            self.estimated_work(shard_id) / max(usable_processors, 1.0),
+            shard_id,
+        )
--- a/fallpulley/jobs/validation.py
+++ b/fallpulley/jobs/validation.py
@@ -1,4 +1,4 @@
-"""Whether a well-formed submission can run on this platform at all."""
+"""Checks whether a well-formed job could ever run on this platform."""
 
 from __future__ import annotations
 
@@ -9,21 +9,24 @@
 from fallpulley.settings import Team
 
 
-def why_never_runs(
+def rejection_reason(
     spec: Submission, team: Team | None, machine_types: Iterable[MachineType]
 ) -> str | None:
-    """Why a job can never run, as its user is told; None if it can."""
+    """Return why a job can never run, as a text for its user; None if it can run.
+
+    `team` is None if the settings do not list the job's team.
+    """
     if team is None:
         return "unknown team"
-    if not any(_fits(spec, machine_type) for machine_type in machine_types):
+    if not any(_can_run_on(spec, machine_type) for machine_type in machine_types):
         return "a task fits no allowed machine type"
-    if _exceeds_limit(spec, team):
+    if _exceeds_team_limit(spec, team):
         return "the job needs more than the team's limit"
     return None
 
 
-def _fits(spec: Submission, machine_type: MachineType) -> bool:
-    """Whether the job allows machines of this type, and a task fits on one."""
+def _can_run_on(spec: Submission, machine_type: MachineType) -> bool:
+    """Return whether the job allows this machine type and a machine of it can hold a task."""
     return (
         (spec.machine_types is None or machine_type.name in spec.machine_types)
         and (spec.zone is None or spec.zone in machine_type.zones)
@@ -33,8 +36,8 @@
     )
 
 
-def _exceeds_limit(spec: Submission, team: Team) -> bool:
-    """Whether tasks that have to run at the same time need more than the team may use at once."""
+def _exceeds_team_limit(spec: Submission, team: Team) -> bool:
+    """Return whether the tasks that must run at the same time exceed the team's limits."""
     concurrent_tasks = 1 if spec.kind is JobKind.ARRAY else spec.task_count
     return (team.cpus_max > 0 and concurrent_tasks * spec.cpus > team.cpus_max) or (
         team.gpus_max > 0 and concurrent_tasks * spec.gpus > team.gpus_max
